--- a/connection/front/src/exchange.ts
+++ b/connection/front/src/exchange.ts
@@ -14,7 +14,7 @@
   }
 
   /// Whether the head of an answer has gone out.
-  get isOpen (): boolean {
+  get hasStarted (): boolean {
     return this.isAnswered
   }
 
@@ -23,7 +23,7 @@
   }
 
   /// Calls back when the caller has left before the answer was whole.
-  onLeave (listener: () => void): void {
+  onDisconnect (listener: () => void): void {
     this.response.once('close', () => {
       if (!this.response.writableFinished) listener()
     })
@@ -52,7 +52,7 @@
   }
 
   /// Sends a whole answer. `isLast` asks the caller to open a new connection next.
-  answer (status: number, headers: Headers, body: Buffer, isLast: boolean): void {
+  respond (status: number, headers: ResponseHeaders, body: Buffer, isLast: boolean): void {
     if (this.isAnswered || this.isFinished) return
     this.isAnswered = true
     this.response.writeHead(status, this.framed(headers, isLast, { 'content-length': String(body.length) }))
@@ -60,7 +60,7 @@
   }
 
   /// Sends the head of an answer whose body follows in pieces.
-  open (status: number, headers: Headers, isLast: boolean): void {
+  startResponse (status: number, headers: ResponseHeaders, isLast: boolean): void {
     if (this.isAnswered || this.isFinished) return
     this.isAnswered = true
     this.response.writeHead(status, this.framed(headers, isLast, {}))
@@ -76,17 +76,17 @@
   }
 
   /// Closes the connection, so that what was sent can't be taken for a whole answer.
-  break (): void {
+  abort (): void {
     this.isAnswered = true
     this.response.destroy()
   }
 
-  private framed (headers: Headers, isLast: boolean, framing: Record<string, string>): Headers {
+  private framed (headers: ResponseHeaders, isLast: boolean, framing: Record<string, string>): ResponseHeaders {
     return isLast ? { ...headers, ...framing, connection: 'close' } : { ...headers, ...framing }
   }
 }
 
-export type Headers = Record<string, string | string[]>
+export type ResponseHeaders = Record<string, string | string[]>
 
 function tooLarge (maxBytes: number): RefusedError {
   return new RefusedError(Refusal.bodyTooLarge, Verdict.notRun, `the body is larger than ${maxBytes} bytes`)
--- a/connection/front/src/index.ts
+++ b/connection/front/src/index.ts
@@ -1,5 +1,5 @@
 export { Exchange } from './exchange.js'
-export type { Headers } from './exchange.js'
+export type { ResponseHeaders } from './exchange.js'
 export { FrontServer, splitAddress } from './server.js'
 export type { FrontLimits, FrontOptions } from './server.js'
 export { serveStatus } from './status.js'
--- a/connection/front/src/server.ts
+++ b/connection/front/src/server.ts
@@ -51,7 +51,7 @@
     return await this.server.listen({ host, port, backlog: 1024 })
   }
 
-  limit (limits: FrontLimits): void {
+  setLimits (limits: FrontLimits): void {
     const { server } = this.server
     server.headersTimeout = limits.headerTimeoutMs
     server.keepAliveTimeout = limits.idleTimeoutMs
--- a/connection/front/test/server.test.ts
+++ b/connection/front/test/server.test.ts
@@ -12,9 +12,9 @@
     serve: async exchange => {
       const { method, path } = exchange.head
       const body = await exchange.readBody(1000).catch(() => null)
-      if (body === null) return exchange.break()
+      if (body === null) return exchange.abort()
       seen.push(`${method} ${path} ${body.length}`)
-      exchange.answer(200, {}, Buffer.from('ok'), false)
+      exchange.respond(200, {}, Buffer.from('ok'), false)
     },
     onMalformed: () => {}
   })
--- a/connection/header/src/codec.ts
+++ b/connection/header/src/codec.ts
@@ -5,7 +5,7 @@
 /// lower case. `reserved` are set by the system only: a caller's are dropped.
 export interface HeaderNames {
   readonly callId: string
-  readonly patienceMs: string
+  readonly callerTimeoutMs: string
   readonly usage: string
   readonly prefix: string
   readonly programId: string
@@ -30,14 +30,14 @@
 }
 
 /// What an upstream's answer says before its body.
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number
   /// Names in lower case.
   readonly headers: Readonly<Record<string, string | string[] | undefined>>
 }
 
 /// An answer's head in the product's terms.
-export interface AnswerFields {
+export interface ResponseFields {
   readonly callId: string | null
   readonly isSigned: boolean
   /// The upstream says that it did not run the request.
@@ -76,7 +76,7 @@
       ...hopByHop,
       ...names.reserved,
       names.expectedInstance,
-      names.patienceMs,
+      names.callerTimeoutMs,
       names.lastEventId
     ])
   }
@@ -95,7 +95,7 @@
       path: head.path,
       host,
       passedHeaders: this.passed(head),
-      patienceMs: Math.min(positive(one(headers[names.patienceMs])) ?? defaultPatienceMs, maxPatienceMs),
+      patienceMs: Math.min(positive(one(headers[names.callerTimeoutMs])) ?? defaultPatienceMs, maxPatienceMs),
       receivedAtMs,
       program: this.readProgram(headers),
       previousTurnId: one(headers[names.previousTurnId]),
@@ -105,7 +105,7 @@
     }
   }
 
-  readAnswer ({ headers }: AnswerHead): AnswerFields {
+  readResponse ({ headers }: ResponseHead): ResponseFields {
     const { names } = this
     return {
       callId: one(headers[names.callId]),
@@ -120,14 +120,14 @@
   writeDispatch (call: Call, dispatch: Dispatch): string[] {
     const { names } = this
     const headers = ['host', call.host, ...call.passedHeaders,
-      names.patienceMs, String(Math.max(1, Math.floor(dispatch.remainingMs))),
+      names.callerTimeoutMs, String(Math.max(1, Math.floor(dispatch.remainingMs))),
       names.expectedInstance, dispatch.instanceId]
     if (dispatch.lastEventId >= 0) headers.push(names.lastEventId, String(dispatch.lastEventId))
     return headers
   }
 
   /// The headers of an answer that go to the caller.
-  passAnswer (head: AnswerHead): Record<string, string | string[]> {
+  filterResponseHeaders (head: ResponseHead): Record<string, string | string[]> {
     const listed = listedIn(one(head.headers.connection))
     const passed: Record<string, string | string[]> = {}
     for (const [name, value] of Object.entries(head.headers)) {
@@ -137,7 +137,7 @@
   }
 
   /// The header that names the call in an answer of the system's own.
-  nameCall (callId: string): Record<string, string> {
+  writeCallId (callId: string): Record<string, string> {
     return { [this.names.callId]: callId }
   }
 
--- a/connection/header/src/index.ts
+++ b/connection/header/src/index.ts
@@ -1,3 +1,3 @@
 export { HeaderCodec } from './codec.js'
-export type { AnswerFields, AnswerHead, Dispatch, HeaderNames, RequestHead, UpstreamLoad } from './codec.js'
+export type { ResponseFields, ResponseHead, Dispatch, HeaderNames, RequestHead, UpstreamLoad } from './codec.js'
 export { nativeHeaders } from './native.js'
--- a/connection/header/src/native.ts
+++ b/connection/header/src/native.ts
@@ -3,7 +3,7 @@
 /// The product's own dialect, listed in docs/API.md.
 export const nativeHeaders = new HeaderCodec({
   callId: 'chicorynotch-call-id',
-  patienceMs: 'chicorynotch-patience-ms',
+  callerTimeoutMs: 'chicorynotch-patience-ms',
   usage: 'chicorynotch-usage',
   prefix: 'chicorynotch-prefix',
   programId: 'chicorynotch-program-id',
--- a/connection/rpc/src/lanes.ts
+++ b/connection/rpc/src/connectionpool.ts
@@ -7,7 +7,7 @@
 const laneCount = 4
 
 /// A storage instance over several connections, taken in turn.
-export class LedgerLanes implements LedgerPeer {
+export class LedgerConnectionPool implements LedgerPeer {
   private readonly lanes: readonly LedgerPeer[]
   private next = 0
 
--- a/connection/rpc/src/index.ts
+++ b/connection/rpc/src/index.ts
@@ -3,6 +3,6 @@
 export { RecordKind } from './recordkind.js'
 export { LedgerConnection, PeerError } from './client.js'
 export type { LedgerPeer } from './client.js'
-export { LedgerLanes } from './lanes.js'
+export { LedgerConnectionPool } from './connectionpool.js'
 export { LedgerServer } from './server.js'
 export type { LedgerHandler } from './server.js'
--- a/connection/rpc/test/client.test.ts
+++ b/connection/rpc/test/client.test.ts
@@ -1,7 +1,7 @@
 import { createConnection, createServer } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 import { afterEach, describe, expect, test } from 'vitest'
-import { LedgerConnection, LedgerLanes, LedgerServer, PeerError } from '#connection/rpc'
+import { LedgerConnection, LedgerConnectionPool, LedgerServer, PeerError } from '#connection/rpc'
 import type { LedgerHandler, LedgerPeer, Standing } from '#connection/rpc'
 
 const standing: Standing = { diskId: 'd', viewVersion: 1, newerView: undefined }
@@ -36,7 +36,7 @@
 
 describe.each<[string, Connect]>([
   ['one connection', address => new LedgerConnection(address)],
-  ['several connections', address => new LedgerLanes(address)]
+  ['several connections', address => new LedgerConnectionPool(address)]
 ])('%s', (_, open) => {
   test('a peer that answers other requests meanwhile is slow, not silent', async () => {
     const timeoutMs = 600
@@ -105,7 +105,7 @@
 test('once all connections went silent, two calls that run out of time are enough to replace them', async () => {
   const server = new LedgerServer(halfDeaf)
   const proxy = await startMutingProxy(await server.listen('127.0.0.1:0'))
-  const lanes = new LedgerLanes(`127.0.0.1:${proxy.port}`)
+  const lanes = new LedgerConnectionPool(`127.0.0.1:${proxy.port}`)
   closes.push(() => server.close(), () => lanes.close())
   for (let i = 0; i < 4; i++) await lanes.digest(digest, 1000)
   proxy.mute()
--- a/connection/store/src/index.ts
+++ b/connection/store/src/index.ts
@@ -1,4 +1,4 @@
-export { follow, followOne } from './follow.js'
-export type { FollowOptions, Follower } from './follow.js'
+export { watchObjects, watchObject } from './watch.js'
+export type { WatchOptions, WatchHandler } from './watch.js'
 export { HistoryGoneError, ObjectKind, StoreConflictError, StoreUnavailableError } from './store.js'
 export type { ObjectStore, StoreChange, StoreChanges, StoreListing, StoredObject } from './store.js'
--- a/connection/store/src/store.ts
+++ b/connection/store/src/store.ts
@@ -31,7 +31,7 @@
   list (kind: string): Promise<StoreListing>
   /// Waits for changes after `revision`. Throws `HistoryGoneError` where the
   /// store no longer has them.
-  changes (kind: string, revision: number, waitMs: number, signal: AbortSignal): Promise<StoreChanges>
+  waitForChanges (kind: string, revision: number, waitMs: number, signal: AbortSignal): Promise<StoreChanges>
   get (kind: string, name: string): Promise<StoredObject | null>
   /// Throws `StoreConflictError` where the name is taken.
   create (kind: string, name: string, spec: unknown): Promise<StoredObject>
@@ -53,7 +53,7 @@
 export class StoreUnavailableError extends Error {
   override readonly name = 'StoreUnavailableError'
 
-  constructor (message: string, readonly mayHaveRun: boolean, options?: ErrorOptions) {
+  constructor (message: string, readonly mayTakeEffect: boolean, options?: ErrorOptions) {
     super(message, options)
   }
 }
--- a/connection/store/src/follow.ts
+++ b/connection/store/src/watch.ts
@@ -5,13 +5,13 @@
 import type { ObjectStore, StoreChange, StoreListing, StoredObject } from './store.js'
 
 /// Receives what a kind of objects looks like, and each change of it.
-export interface Follower {
+export interface WatchHandler {
   /// All objects. `wasInterrupted` says that the store was away before.
   onListing (listing: StoreListing, wasInterrupted: boolean): void
   onChanges (changes: readonly StoreChange[]): void
 }
 
-export interface FollowOptions {
+export interface WatchOptions {
   readonly kind: string
   /// How long one call waits at the store.
   readonly waitMs: number
@@ -24,7 +24,7 @@
 
 /// Follows a kind of objects: lists it, then waits for changes. After a
 /// failure it lists again, so that nothing rests on a watch that was cut.
-export function follow (store: ObjectStore, options: FollowOptions, follower: Follower, log: EventLog): () => void {
+export function watchObjects (store: ObjectStore, options: WatchOptions, follower: WatchHandler, log: EventLog): () => void {
   const stop = new AbortController()
   run(store, options, follower, log, stop.signal).catch((error: unknown) => {
     log.event(Events.unexpectedError, { where: `following ${options.kind}`, error: messageOf(error) })
@@ -34,14 +34,14 @@
 
 /// Follows one object of a kind. `onObject` gets it after each listing, null
 /// where it isn't there, and after each change but its end.
-export function followOne (
+export function watchObject (
   store: ObjectStore,
-  options: FollowOptions,
+  options: WatchOptions,
   name: string,
   onObject: (object: StoredObject | null) => void,
   log: EventLog
 ): () => void {
-  return follow(store, options, {
+  return watchObjects(store, options, {
     onListing: ({ objects }) => onObject(objects.find(object => object.name === name) ?? null),
     onChanges: changes => {
       for (const change of changes) if (change.name === name && change.object !== null) onObject(change.object)
@@ -51,8 +51,8 @@
 
 async function run (
   store: ObjectStore,
-  options: FollowOptions,
-  follower: Follower,
+  options: WatchOptions,
+  follower: WatchHandler,
   log: EventLog,
   signal: AbortSignal
 ): Promise<void> {
@@ -78,14 +78,14 @@
 
 async function watch (
   store: ObjectStore,
-  options: FollowOptions,
-  follower: Follower,
+  options: WatchOptions,
+  follower: WatchHandler,
   from: number,
   signal: AbortSignal
 ): Promise<void> {
   let revision = from
   while (!signal.aborted) {
-    const { changes, revision: next } = await store.changes(options.kind, revision, options.waitMs, signal)
+    const { changes, revision: next } = await store.waitForChanges(options.kind, revision, options.waitMs, signal)
     revision = Math.max(revision, next)
     if (changes.length === 0) continue
     follower.onChanges(changes)
--- a/connection/upstream/src/client.ts
+++ b/connection/upstream/src/client.ts
@@ -1,6 +1,6 @@
 import { Pool, strictConnector } from './pool.js'
 import type { Dispatcher } from './pool.js'
-import type { AnswerHead } from '#connection/header'
+import type { ResponseHead } from '#connection/header'
 
 /// A request as it goes to an instance.
 export interface UpstreamRequest {
@@ -12,15 +12,15 @@
 }
 
 /// Receives one answer. After `onError` or `onEnd` nothing more comes.
-export interface AnswerSink {
-  onHead (head: AnswerHead): void
+export interface ResponseHandler {
+  onHead (head: ResponseHead): void
   onData (chunk: Buffer): void
   onEnd (): void
   onError (error: UpstreamError): void
 }
 
 /// A request under way. Aborting closes its connection at once.
-export interface Sending {
+export interface InFlightRequest {
   abort (): void
   /// Whether any of the request may have left this process.
   readonly isSent: boolean
@@ -57,7 +57,7 @@
     })
   }
 
-  send (request: UpstreamRequest, sink: AnswerSink): Sending {
+  send (request: UpstreamRequest, sink: ResponseHandler): InFlightRequest {
     const exchange = new Exchange(sink, this.line)
     this.pool.dispatch({
       method: request.method as Dispatcher.HttpMethod,
@@ -86,13 +86,13 @@
   isResetting: boolean
 }
 
-class Exchange implements Dispatcher.DispatchHandler, Sending {
+class Exchange implements Dispatcher.DispatchHandler, InFlightRequest {
   isSent = false
   private controller: Dispatcher.DispatchController | null = null
   private isAborted = false
   private isDone = false
 
-  constructor (private readonly sink: AnswerSink, private readonly line: Line) {}
+  constructor (private readonly sink: ResponseHandler, private readonly line: Line) {}
 
   abort (): void {
     this.isAborted = true
@@ -106,7 +106,7 @@
     else this.isSent = true
   }
 
-  onResponseStart (_: Dispatcher.DispatchController, status: number, headers: AnswerHead['headers']): void {
+  onResponseStart (_: Dispatcher.DispatchController, status: number, headers: ResponseHead['headers']): void {
     if (status >= 200 && !this.isDone) this.sink.onHead({ status, headers })
   }
 
--- a/process/entry/src/entry.ts
+++ b/process/entry/src/entry.ts
@@ -2,8 +2,8 @@
 import type { ForwardContext } from '#request/forward'
 import { FrontServer, serveStatus } from '#connection/front'
 import type { HeaderCodec } from '#connection/header'
-import { LedgerLanes } from '#connection/rpc'
-import { ObjectKind, follow, followOne } from '#connection/store'
+import { LedgerConnectionPool } from '#connection/rpc'
+import { ObjectKind, watchObjects, watchObject } from '#connection/store'
 import type { ObjectStore, StoredObject } from '#connection/store'
 import { InstanceClient } from '#connection/upstream'
 import { RouteTable } from '#version/configuration'
@@ -82,7 +82,7 @@
     this.quorum = new LedgerQuorum({
       zone: options.zone,
       toleratedLosses: options.toleratedLosses,
-      connect: address => new LedgerLanes(address),
+      connect: address => new LedgerConnectionPool(address),
       onStale: () => this.readView()
     }, log)
     this.context = {
@@ -105,10 +105,10 @@
     const { options, platform, log } = this
     const pace = { waitMs: watchWaitMs, pauseMs: watchPauseMs }
     this.stops.push(
-      followOne(platform.store, { kind: ObjectKind.configuration, ...pace }, configurationName, object => {
+      watchObject(platform.store, { kind: ObjectKind.configuration, ...pace }, configurationName, object => {
         if (object !== null) this.configure(object)
       }, log),
-      follow(platform.store, { kind: ObjectKind.instances, ...pace }, this.registry, log)
+      watchObjects(platform.store, { kind: ObjectKind.instances, ...pace }, this.registry, log)
     )
     this.readView()
     const viewTimer = setInterval(() => { if (this.quorum.viewVersion === 0) this.readView() }, viewCheckMs)
@@ -158,7 +158,7 @@
       if (this.routes !== null && configuration.version <= this.routes.configuration.version) return
       this.configurationRevision = object.revision
       this.routes = new RouteTable(configuration)
-      this.front.limit(configuration.callerLimits)
+      this.front.setLimits(configuration.callerLimits)
       this.log.event(Events.configurationApplied, {
         version: configuration.version,
         revision: object.revision,
--- a/process/entry/src/serve.ts
+++ b/process/entry/src/serve.ts
@@ -3,7 +3,7 @@
 import { AbortReason, serveStream, serveUnary } from '#request/forward'
 import type { CallerAnswer, ForwardContext, RoutedCall } from '#request/forward'
 import type { Exchange } from '#connection/front'
-import type { AnswerHead, HeaderCodec } from '#connection/header'
+import type { ResponseHead, HeaderCodec } from '#connection/header'
 import { RouteKind, pickTarget } from '#version/configuration'
 import type { RouteTable } from '#version/configuration'
 import { Events, messageOf } from '#process/log'
@@ -31,7 +31,7 @@
 export async function serveExchange (exchange: Exchange, state: ServeState, context: ForwardContext): Promise<void> {
   const receivedAtMs = performance.now()
   const stop = new AbortController()
-  exchange.onLeave(() => stop.abort(AbortReason.callerLeft))
+  exchange.onDisconnect(() => stop.abort(AbortReason.callerLeft))
   const answer = new Answer(exchange, context.codec, state)
   let call: Call | null = null
   let timer: ReturnType<typeof setTimeout> | null = null
@@ -152,18 +152,18 @@
   ) {}
 
   get isOpen (): boolean {
-    return this.exchange.isOpen
+    return this.exchange.hasStarted
   }
 
-  answer (head: AnswerHead, body: Buffer): void {
+  answer (head: ResponseHead, body: Buffer): void {
     this.status = head.status
     this.bytes = body.length
-    this.exchange.answer(head.status, this.codec.passAnswer(head), body, this.state.isUnfit)
+    this.exchange.respond(head.status, this.codec.filterResponseHeaders(head), body, this.state.isUnfit)
   }
 
-  open (head: AnswerHead): void {
+  open (head: ResponseHead): void {
     this.status = head.status
-    this.exchange.open(head.status, this.codec.passAnswer(head), this.state.isUnfit)
+    this.exchange.startResponse(head.status, this.codec.filterResponseHeaders(head), this.state.isUnfit)
   }
 
   write (bytes: Buffer): void {
@@ -176,14 +176,14 @@
   }
 
   break (): void {
-    this.exchange.break()
+    this.exchange.abort()
   }
 
   refuse (refused: RefusedError, call: Call | null): void {
     this.status = refused.status
     const headers: Record<string, string> = {
       'content-type': 'application/json',
-      ...(call === null ? {} : this.codec.nameCall(call.id)),
+      ...(call === null ? {} : this.codec.writeCallId(call.id)),
       ...(refused.retryAfterMs > 0 ? { 'retry-after': String(refused.retryAfterMs / 1000) } : {})
     }
     const body = JSON.stringify({
@@ -194,6 +194,6 @@
         retryAfterMs: refused.retryAfterMs
       }
     })
-    this.exchange.answer(refused.status, headers, Buffer.from(body), this.state.isUnfit || call === null)
+    this.exchange.respond(refused.status, headers, Buffer.from(body), this.state.isUnfit || call === null)
   }
 }
--- a/process/instances/src/registry.ts
+++ b/process/instances/src/registry.ts
@@ -1,5 +1,5 @@
 import { ObjectKind } from '#connection/store'
-import type { Follower, StoreChange, StoreListing, StoredObject } from '#connection/store'
+import type { WatchHandler, StoreChange, StoreListing, StoredObject } from '#connection/store'
 import type { InstanceClient } from '#connection/upstream'
 import { Events } from '#process/log'
 import type { EventLog } from '#process/log'
@@ -19,7 +19,7 @@
 const lapsedGraceMs = 2000
 
 /// The upstream instances that the platform lists.
-export class InstanceRegistry implements Follower {
+export class InstanceRegistry implements WatchHandler {
   private readonly byId = new Map<string, Instance>()
   private readonly held = new Map<string, ReturnType<typeof setTimeout>>()
   private isKnown = false
--- a/process/storage/src/membership.ts
+++ b/process/storage/src/membership.ts
@@ -1,5 +1,5 @@
 import type { LedgerPeer, Member, View } from '#connection/rpc'
-import { ObjectKind, StoreConflictError, follow, followOne } from '#connection/store'
+import { ObjectKind, StoreConflictError, watchObjects, watchObject } from '#connection/store'
 import type { ObjectStore, StoredObject } from '#connection/store'
 import type { Ledger } from '#process/ledger'
 import { Events, messageOf } from '#process/log'
@@ -64,8 +64,8 @@
 
   start (): void {
     const views = { kind: ObjectKind.storageViews, waitMs: viewWaitMs, pauseMs: watchPauseMs }
-    this.stops.push(followOne(this.store, views, viewName, object => this.onView(object), this.log))
-    this.stops.push(follow(this.store, {
+    this.stops.push(watchObject(this.store, views, viewName, object => this.onView(object), this.log))
+    this.stops.push(watchObjects(this.store, {
       kind: ObjectKind.retirements,
       waitMs: retirementWaitMs,
       pauseMs: watchPauseMs
--- a/process/storage/test/cluster.ts
+++ b/process/storage/test/cluster.ts
@@ -34,7 +34,7 @@
     return { objects, revision: this.revision }
   }
 
-  async changes (
+  async waitForChanges (
     kind: string,
     revision: number,
     waitMs: number
--- a/request/forward/src/attempt.ts
+++ b/request/forward/src/attempt.ts
@@ -1,6 +1,6 @@
-import type { AnswerFields, AnswerHead, HeaderCodec } from '#connection/header'
+import type { ResponseFields, ResponseHead, HeaderCodec } from '#connection/header'
 import { UpstreamError } from '#connection/upstream'
-import type { AnswerSink, Sending } from '#connection/upstream'
+import type { ResponseHandler, InFlightRequest } from '#connection/upstream'
 import type { Call } from '#request/call'
 import { noteFailure, noteLoad, noteSuccess } from '#process/instances'
 import { Events, reasonIn } from '#process/log'
@@ -9,7 +9,7 @@
 
 /// How one sending to one instance ended.
 export type AttemptResult =
-  | { readonly kind: 'answer', readonly head: AnswerHead, readonly body: Buffer }
+  | { readonly kind: 'answer', readonly head: ResponseHead, readonly body: Buffer }
   /// A stream whose events all went to the listener came to its end.
   | { readonly kind: 'stream-ended' }
   /// The instance promises that it did not run the call.
@@ -22,7 +22,7 @@
 /// Receives the answer of an attempt that is a stream.
 export interface StreamListener {
   /// Throws where the stream can't be the rest of what came before.
-  onHead (head: AnswerHead): void
+  onHead (head: ResponseHead): void
   onData (chunk: Buffer): void
   /// Whether what came so far may be an end.
   isWhole (): boolean
@@ -53,11 +53,11 @@
   })
 }
 
-class Attempt implements AnswerSink {
+class Attempt implements ResponseHandler {
   private readonly chunks: Buffer[] = []
-  private head: AnswerHead | null = null
+  private head: ResponseHead | null = null
   private isStream = false
-  private sending: Sending | null = null
+  private sending: InFlightRequest | null = null
   private silence: ReturnType<typeof setTimeout> | null = null
   private isOver = false
 
@@ -76,10 +76,10 @@
     }
   }
 
-  onHead (head: AnswerHead): void {
+  onHead (head: ResponseHead): void {
     const { call, codec, instance, listener } = this.request
     this.restartSilence()
-    const fields = codec.readAnswer(head)
+    const fields = codec.readResponse(head)
     const fault = faultOf(fields, head, call)
     if (fault !== null) return this.breakOff(fault)
     if (fields.load !== null) noteLoad(instance, fields.load, performance.now())
@@ -165,7 +165,7 @@
 }
 
 /// Why an answer can't be this call's, or null.
-function faultOf (fields: AnswerFields, head: AnswerHead, call: Call): string | null {
+function faultOf (fields: ResponseFields, head: ResponseHead, call: Call): string | null {
   if (fields.callId !== null && fields.callId !== call.id) return `the answer is to ${fields.callId}`
   if (fields.isNotRun || head.status === statusMisdirected) return null
   if (fields.callId === null) return 'the answer names no call'
@@ -174,7 +174,7 @@
   return null
 }
 
-function isEventStream (head: AnswerHead): boolean {
+function isEventStream (head: ResponseHead): boolean {
   const type = head.headers['content-type']
   return typeof type === 'string' && type.startsWith('text/event-stream')
 }
--- a/request/forward/src/context.ts
+++ b/request/forward/src/context.ts
@@ -1,4 +1,4 @@
-import type { AnswerHead, HeaderCodec } from '#connection/header'
+import type { ResponseHead, HeaderCodec } from '#connection/header'
 import type { Call } from '#request/call'
 import type { ChainCache, TurnLedger } from '#request/turn'
 import type { Route, Service } from '#version/configuration'
@@ -32,8 +32,8 @@
 
 /// The caller's side of an answer.
 export interface CallerAnswer {
-  answer (head: AnswerHead, body: Buffer): void
-  open (head: AnswerHead): void
+  answer (head: ResponseHead, body: Buffer): void
+  open (head: ResponseHead): void
   write (bytes: Buffer): void
   end (): void
   /// Closes the connection, so that the answer can't be taken for a whole one.
--- a/request/forward/src/stream.ts
+++ b/request/forward/src/stream.ts
@@ -1,4 +1,4 @@
-import type { AnswerHead } from '#connection/header'
+import type { ResponseHead } from '#connection/header'
 import type { LedgerRecord } from '#connection/rpc'
 import { Refusal, RefusedError, Verdict } from '#request/call'
 import { EventStreamParser, TurnAccount, promptOf, readHistory, turnRecord } from '#request/turn'
@@ -141,7 +141,7 @@
     if (this.caller.isOpen) this.caller.end()
   }
 
-  onHead (head: AnswerHead): void {
+  onHead (head: ResponseHead): void {
     this.parser = new EventStreamParser()
     if (!this.caller.isOpen) this.caller.open(head)
   }
