--- a/connection/header/src/codec.ts
+++ b/connection/header/src/codec.ts
@@ -94,8 +94,8 @@
       method: head.method,
       path: head.path,
       host,
-      passedHeaders: this.passed(head),
-      patienceMs: Math.min(positive(one(headers[names.callerTimeoutMs])) ?? defaultPatienceMs, maxPatienceMs),
+      forwardedHeaders: this.passed(head),
+      callerTimeoutMs: Math.min(positive(one(headers[names.callerTimeoutMs])) ?? defaultPatienceMs, maxPatienceMs),
       receivedAtMs,
       program: this.readProgram(headers),
       previousTurnId: one(headers[names.previousTurnId]),
@@ -119,7 +119,7 @@
   /// The headers to send upstream, names and values alternating.
   writeDispatch (call: Call, dispatch: Dispatch): string[] {
     const { names } = this
-    const headers = ['host', call.host, ...call.passedHeaders,
+    const headers = ['host', call.host, ...call.forwardedHeaders,
       names.callerTimeoutMs, String(Math.max(1, Math.floor(dispatch.remainingMs))),
       names.expectedInstance, dispatch.instanceId]
     if (dispatch.lastEventId >= 0) headers.push(names.lastEventId, String(dispatch.lastEventId))
--- a/emulator/policy/src/emulation.ts
+++ b/emulator/policy/src/emulation.ts
@@ -1,9 +1,9 @@
 import { pause } from '#process/clock'
 import type { Call } from '#request/call'
-import { InstanceRegistry, noteCached, noteLoad } from '#process/instances'
+import { InstanceRegistry, recordCachedParts, recordLoad } from '#process/instances'
 import type { Instance } from '#process/instances'
 import { silentLog } from '#process/log'
-import type { Place, PlacementNeed } from '#process/placement'
+import type { InstanceLease, PlacementRequest } from '#process/placement'
 import { plainCall } from '#standin/call'
 import { EmulatedEngine } from './engine.js'
 import type { EngineTraits } from './engine.js'
@@ -11,7 +11,7 @@
 
 /// Gives a call its place, or refuses it. `Placement` is one; so are the baselines.
 export interface PlacementPolicy {
-  acquire (need: PlacementNeed, signal: AbortSignal): Promise<Place>
+  acquire (need: PlacementRequest, signal: AbortSignal): Promise<InstanceLease>
 }
 
 /// Makes an entry's policy over the instances that it knows.
@@ -103,7 +103,7 @@
     return false
   }
 
-  private placeOf (program: TracedProgram, call: Call, index: number): Promise<Place> {
+  private placeOf (program: TracedProgram, call: Call, index: number): Promise<InstanceLease> {
     const isContinuing = index > 0
     return this.entries[program.entry]!.policy.acquire({
       call,
@@ -118,18 +118,18 @@
     }, new AbortController().signal)
   }
 
-  private async runAt ({ instance }: Place, call: Call, turn: TracedTurn): Promise<boolean> {
+  private async runAt ({ instance }: InstanceLease, call: Call, turn: TracedTurn): Promise<boolean> {
     const sentAtMs = performance.now()
     await pause(wayMs)
     await new Promise<void>(resolve => this.engines.get(instance.description.id)!.run({
       prefix: call.prefix,
       outputTokens: turn.outputTokens,
       onFirst: (running, waiting) => {
-        noteLoad(instance, { running, waiting, slots: instance.description.slots }, performance.now())
+        recordLoad(instance, { running, waiting, slots: instance.description.slots }, performance.now())
       },
       onEnd: resolve
     }))
-    noteCached(instance, call.prefix.map(part => part.id))
+    recordCachedParts(instance, call.prefix.map(part => part.id))
     return performance.now() - sentAtMs <= patienceMs
   }
 
@@ -143,7 +143,7 @@
 
   private newRegistry (): InstanceRegistry {
     const registry = new InstanceRegistry({
-      readInstance: object => object.spec as Instance['description'],
+      parseInstance: object => object.spec as Instance['description'],
       connect: () => ({ close: () => {} }) as unknown as Instance['client'],
       onChange: () => {}
     }, silentLog)
@@ -159,7 +159,7 @@
 function callOf (program: TracedProgram, turn: TracedTurn, index: number, before: readonly string[]): Call {
   const own = [...before, `${program.id}/${index}`].map(id => ({ id, tokens: turn.inputTokens }))
   return plainCall(`${program.id}/${index}`, {
-    patienceMs,
+    callerTimeoutMs: patienceMs,
     program: { id: program.id, sessionId: program.id, remainingMs: patienceMs, tokenBudget: null },
     prefix: [{ id: program.sharedPart, tokens: sharedTokens }, ...own]
   })
--- a/emulator/policy/src/policies.ts
+++ b/emulator/policy/src/policies.ts
@@ -1,7 +1,7 @@
 import type { InstanceRegistry, Instance } from '#process/instances'
 import { silentLog } from '#process/log'
 import { Placement } from '#process/placement'
-import type { Place } from '#process/placement'
+import type { InstanceLease } from '#process/placement'
 import type { MakePolicy, PlacementPolicy } from './emulation.js'
 
 const zone = 'z'
@@ -20,8 +20,8 @@
 class PlainPolicy implements PlacementPolicy {
   constructor (private readonly registry: InstanceRegistry, private readonly choose: Choose) {}
 
-  acquire ({ service }: Parameters<PlacementPolicy['acquire']>[0]): Promise<Place> {
-    const instance = this.choose([...this.registry.ofService(service)])
+  acquire ({ service }: Parameters<PlacementPolicy['acquire']>[0]): Promise<InstanceLease> {
+    const instance = this.choose([...this.registry.readyInstances(service)])
     instance.running++
     return Promise.resolve({ instance, release: () => { instance.running-- } })
   }
--- a/process/entry/src/entry.ts
+++ b/process/entry/src/entry.ts
@@ -10,7 +10,7 @@
 import type { Configuration } from '#version/configuration'
 import { pause } from '#process/clock'
 import { InstanceRegistry } from '#process/instances'
-import type { InstanceDescription, ReadInstance } from '#process/instances'
+import type { InstanceDescription, ParseInstance } from '#process/instances'
 import { Events, messageOf } from '#process/log'
 import type { EventLog } from '#process/log'
 import { readView, viewName } from '#process/membership'
@@ -33,7 +33,7 @@
 export interface EntryPlatform {
   readonly headers: HeaderCodec
   readonly store: ObjectStore
-  readonly readInstance: ReadInstance
+  readonly readInstance: ParseInstance
   /// Throws where the object holds no configuration.
   readonly readConfiguration: (object: StoredObject) => Configuration
 }
@@ -74,9 +74,9 @@
     private readonly metrics: Metrics
   ) {
     this.registry = new InstanceRegistry({
-      readInstance: platform.readInstance,
+      parseInstance: platform.readInstance,
       connect: description => this.connect(description),
-      onChange: () => placement.recheck()
+      onChange: () => placement.processQueue()
     }, log)
     const placement = new Placement(this.registry, options.zone, log)
     this.quorum = new LedgerQuorum({
@@ -98,7 +98,7 @@
       onMalformed: code => log.event(Events.requestMalformed, { code })
     })
     metrics.gauge('calls_under_way', () => this.underWay)
-    metrics.gauge('calls_waiting', () => placement.waiting)
+    metrics.gauge('calls_waiting', () => placement.queueLength)
   }
 
   async start (): Promise<void> {
@@ -134,7 +134,7 @@
   }
 
   private get isReady (): boolean {
-    return !this.isStopping && this.routes !== null && this.registry.isReady && this.quorum.isReachable
+    return !this.isStopping && this.routes !== null && this.registry.hasListing && this.quorum.isReachable
   }
 
   /// Whether callers should rather go to another entry.
--- a/process/entry/src/serve.ts
+++ b/process/entry/src/serve.ts
@@ -1,7 +1,7 @@
 import { InvalidCallError, Refusal, RefusedError, Verdict } from '#request/call'
 import type { Call } from '#request/call'
 import { AbortReason, serveStream, serveUnary } from '#request/forward'
-import type { CallerAnswer, ForwardContext, RoutedCall } from '#request/forward'
+import type { CallerResponse, ForwardContext, RoutedCall } from '#request/forward'
 import type { Exchange } from '#connection/front'
 import type { ResponseHead, HeaderCodec } from '#connection/header'
 import { RouteKind, pickTarget } from '#version/configuration'
@@ -16,7 +16,7 @@
   readonly isUnfit: boolean
 }
 
-type Serve = (routed: RoutedCall, caller: CallerAnswer, context: ForwardContext) => Promise<void>
+type Serve = (routed: RoutedCall, caller: CallerResponse, context: ForwardContext) => Promise<void>
 
 const serveByKind: Readonly<Record<RouteKind, Serve>> = {
   streaming: serveStream,
@@ -31,7 +31,7 @@
 export async function serveExchange (exchange: Exchange, state: ServeState, context: ForwardContext): Promise<void> {
   const receivedAtMs = performance.now()
   const stop = new AbortController()
-  exchange.onDisconnect(() => stop.abort(AbortReason.callerLeft))
+  exchange.onDisconnect(() => stop.abort(AbortReason.callerDisconnected))
   const answer = new Answer(exchange, context.codec, state)
   let call: Call | null = null
   let timer: ReturnType<typeof setTimeout> | null = null
@@ -75,7 +75,7 @@
     service: routes.configuration.services.get(serviceName) ?? null,
     configVersion: routes.configuration.version,
     body,
-    deadlineMs: call.receivedAtMs + Math.min(call.patienceMs, route.timeoutMs),
+    deadlineMs: call.receivedAtMs + Math.min(call.callerTimeoutMs, route.timeoutMs),
     signal
   }
 }
@@ -126,14 +126,14 @@
   if (refused !== error) context.log.event(Events.unexpectedError, { callId: call?.id ?? '', where: 'serving a call', error: messageOf(error) })
   const durationMs = Math.round(performance.now() - receivedAtMs)
   const fields = { callId: call?.id ?? '', programId: call?.program?.id, refusal: refused.refusal, verdict: refused.verdict, reason: refused.message, durationMs }
-  if (signal.aborted && signal.reason === AbortReason.callerLeft) {
+  if (signal.aborted && signal.reason === AbortReason.callerDisconnected) {
     context.log.event(Events.callAbandoned, fields)
     return
   }
   context.metrics.count(`refusals_total{refusal="${refused.refusal}"}`)
-  if (answer.isOpen) {
+  if (answer.hasStarted) {
     context.log.event(Events.answerBroken, { ...fields, bytes: answer.bytes })
-    answer.break()
+    answer.abort()
   } else {
     context.log.event(Events.callRefused, { ...fields, status: refused.status, retryAfterMs: refused.retryAfterMs })
     answer.refuse(refused, call)
@@ -141,7 +141,7 @@
 }
 
 /// The caller's side of one exchange.
-class Answer implements CallerAnswer {
+class Answer implements CallerResponse {
   status = 0
   bytes = 0
 
@@ -151,17 +151,17 @@
     private readonly state: ServeState
   ) {}
 
-  get isOpen (): boolean {
+  get hasStarted (): boolean {
     return this.exchange.hasStarted
   }
 
-  answer (head: ResponseHead, body: Buffer): void {
+  respond (head: ResponseHead, body: Buffer): void {
     this.status = head.status
     this.bytes = body.length
     this.exchange.respond(head.status, this.codec.filterResponseHeaders(head), body, this.state.isUnfit)
   }
 
-  open (head: ResponseHead): void {
+  startResponse (head: ResponseHead): void {
     this.status = head.status
     this.exchange.startResponse(head.status, this.codec.filterResponseHeaders(head), this.state.isUnfit)
   }
@@ -175,7 +175,7 @@
     this.exchange.end()
   }
 
-  break (): void {
+  abort (): void {
     this.exchange.abort()
   }
 
--- a/process/entry/test/harness.ts
+++ b/process/entry/test/harness.ts
@@ -83,7 +83,7 @@
 
   constructor (instances: readonly Listed[]) {
     this.registry = new InstanceRegistry({
-      readInstance,
+      parseInstance: readInstance,
       connect: at => new InstanceClient(at.address, 8),
       onChange: () => {}
     }, silentLog)
--- a/process/entry/test/serve.test.ts
+++ b/process/entry/test/serve.test.ts
@@ -162,7 +162,7 @@
   const inProgram = { 'program-id': 'p', 'session-id': 's', 'program-deadline-ms': '4000', 'token-budget': '500', 'token-usage': '40,40' }
   const firstId = randomBytes(8).toString('hex')
   expect((await call('/chat/1', { ...inProgram, 'attempt-id': firstId })).status).toBe(200)
-  for (const instance of entry.registry.ofService('models')) instance.running = 6
+  for (const instance of entry.registry.readyInstances('models')) instance.running = 6
   expect((await call('/chat/2', { ...inProgram, 'previous-turn': firstId })).status).toBe(200)
   expect((await call('/chat/helper', { ...inProgram, 'session-id': 'h' })).status).toBe(200)
   const refused = await call('/chat/1', { ...inProgram, 'program-id': 'q' })
--- a/process/instances/src/instance.ts
+++ b/process/instances/src/instance.ts
@@ -19,7 +19,7 @@
   running: number
   /// What others seem to have there, when that was learnt, and at which own load.
   othersRunning: number
-  loadReadAtMs: number
+  loadReportedAtMs: number
   /// Failures to reach it in a row.
   failures: number
   /// No calls go there before this time unless there is no other choice.
@@ -37,30 +37,30 @@
 
 /// The calls that seem to be at the instance, from this process and others.
 export function estimateRunning (instance: Instance, nowMs: number): number {
-  const ageMs = nowMs - instance.loadReadAtMs
+  const ageMs = nowMs - instance.loadReportedAtMs
   return instance.running + instance.othersRunning * 0.5 ** (ageMs / loadHalfLifeMs)
 }
 
-export function noteLoad (instance: Instance, load: UpstreamLoad, nowMs: number): void {
+export function recordLoad (instance: Instance, load: UpstreamLoad, nowMs: number): void {
   instance.othersRunning = Math.max(0, load.running + load.waiting - instance.running)
-  instance.loadReadAtMs = nowMs
+  instance.loadReportedAtMs = nowMs
 }
 
 /// Returns for how long the instance is now avoided.
-export function noteFailure (instance: Instance, nowMs: number): number {
+export function recordFailure (instance: Instance, nowMs: number): number {
   instance.failures++
   const suspicionMs = Math.min(firstSuspicionMs * 2 ** (instance.failures - 1), maxSuspicionMs)
   instance.suspectUntilMs = nowMs + suspicionMs
   return suspicionMs
 }
 
-export function noteSuccess (instance: Instance): void {
+export function recordSuccess (instance: Instance): void {
   instance.failures = 0
   instance.suspectUntilMs = 0
 }
 
 /// Notes that the instance has read these parts of a prompt.
-export function noteCached (instance: Instance, partIds: readonly string[]): void {
+export function recordCachedParts (instance: Instance, partIds: readonly string[]): void {
   const { cachedParts } = instance
   for (const id of partIds) {
     cachedParts.delete(id)
--- a/process/instances/src/registry.ts
+++ b/process/instances/src/registry.ts
@@ -6,10 +6,10 @@
 import type { Instance, InstanceDescription } from './instance.js'
 
 /// Reads an entry of the platform's list; null where it names no usable instance.
-export type ReadInstance = (object: StoredObject) => InstanceDescription | null
+export type ParseInstance = (object: StoredObject) => InstanceDescription | null
 
 export interface RegistryOptions {
-  readonly readInstance: ReadInstance
+  readonly parseInstance: ParseInstance
   readonly connect: (description: InstanceDescription) => InstanceClient
   /// Called when an instance has come, gone or changed its state.
   readonly onChange: () => void
@@ -27,7 +27,7 @@
   constructor (private readonly options: RegistryOptions, private readonly log: EventLog) {}
 
   /// Whether the platform's list has been read.
-  get isReady (): boolean {
+  get hasListing (): boolean {
     return this.isKnown
   }
 
@@ -36,7 +36,7 @@
   }
 
   /// The instances of a service that may be sent calls.
-  * ofService (service: string): Generator<Instance> {
+  * readyInstances (service: string): Generator<Instance> {
     for (const instance of this.byId.values()) {
       if (instance.description.service === service && instance.description.isReady) yield instance
     }
@@ -63,7 +63,7 @@
   }
 
   private apply (id: string, object: StoredObject | null): void {
-    const description = object === null ? null : this.options.readInstance(object)
+    const description = object === null ? null : this.options.parseInstance(object)
     if (object !== null && description === null) {
       this.log.event(Events.instanceIgnored, { instanceId: id, kind: ObjectKind.instances, revision: object.revision })
     }
@@ -91,7 +91,7 @@
       client: this.options.connect(description),
       running: 0,
       othersRunning: 0,
-      loadReadAtMs: 0,
+      loadReportedAtMs: 0,
       failures: 0,
       suspectUntilMs: 0,
       cachedParts: new Map(),
--- a/process/instances/test/registry.test.ts
+++ b/process/instances/test/registry.test.ts
@@ -15,14 +15,14 @@
 
 function registry (): InstanceRegistry {
   return new InstanceRegistry({
-    readInstance,
+    parseInstance: readInstance,
     connect: ({ address }) => new InstanceClient(address, 4),
     onChange: () => {}
   }, silentLog)
 }
 
 function ids (instances: InstanceRegistry): string[] {
-  return [...instances.ofService('s')].map(instance => instance.description.id)
+  return [...instances.readyInstances('s')].map(instance => instance.description.id)
 }
 
 test('instances that are leaving or gone get no calls', () => {
--- a/process/placement/src/choice.ts
+++ b/process/placement/src/choice.ts
@@ -5,7 +5,7 @@
 import type { Instance } from '#process/instances'
 
 /// What a call needs of an instance.
-export interface PlacementNeed {
+export interface PlacementRequest {
   readonly call: Call
   readonly service: string
   readonly engine: Engine | null
@@ -35,7 +35,7 @@
 /// there, tokens of the prompt that it has not read, and the way to it.
 export function chooseInstance (
   candidates: readonly Instance[],
-  need: PlacementNeed,
+  need: PlacementRequest,
   zone: string,
   nowMs: number
 ): Instance | null {
@@ -50,7 +50,7 @@
   return best
 }
 
-function expectedMs (instance: Instance, need: PlacementNeed, zone: string, nowMs: number): number {
+function expectedMs (instance: Instance, need: PlacementRequest, zone: string, nowMs: number): number {
   const running = estimateRunning(instance, nowMs)
   const key = need.call.program?.id ?? need.call.id
   const loadMs = running * (need.engine === null ? serviceLoadMs : engineLoadMs)
@@ -60,7 +60,7 @@
 }
 
 /// The tokens of the prompt that the instance would have to read.
-function uncachedTokens (instance: Instance, need: PlacementNeed): number {
+function uncachedTokens (instance: Instance, need: PlacementRequest): number {
   const { prefix, usage } = need.call
   let total = usage?.promptTokens ?? 0
   if (prefix.length > 0) total = prefix.reduce((sum, part) => sum + part.tokens, 0)
--- a/process/placement/src/index.ts
+++ b/process/placement/src/index.ts
@@ -1,4 +1,4 @@
 export { chooseInstance } from './choice.js'
-export type { PlacementNeed } from './choice.js'
+export type { PlacementRequest } from './choice.js'
 export { Placement } from './placement.js'
-export type { Place } from './placement.js'
+export type { InstanceLease } from './placement.js'
--- a/process/placement/src/placement.ts
+++ b/process/placement/src/placement.ts
@@ -4,18 +4,18 @@
 import { estimateRunning } from '#process/instances'
 import type { Instance, InstanceRegistry } from '#process/instances'
 import { chooseInstance } from './choice.js'
-import type { PlacementNeed } from './choice.js'
+import type { PlacementRequest } from './choice.js'
 
 /// A place at an instance, until it is released.
-export interface Place {
+export interface InstanceLease {
   readonly instance: Instance
   release (): void
 }
 
 interface Waiter {
-  readonly need: PlacementNeed
+  readonly need: PlacementRequest
   readonly since: number
-  resolve (place: Place): void
+  resolve (place: InstanceLease): void
   reject (error: RefusedError): void
 }
 
@@ -45,12 +45,12 @@
     private readonly log: EventLog
   ) {}
 
-  get waiting (): number {
+  get queueLength (): number {
     return this.waiters.length
   }
 
   /// Rejects with `RefusedError` where no instance may take the call in time.
-  acquire (need: PlacementNeed, signal: AbortSignal): Promise<Place> {
+  acquire (need: PlacementRequest, signal: AbortSignal): Promise<InstanceLease> {
     const nowMs = performance.now()
     const isBehind = this.waiters.some(waiter => {
       return waiter.need.service === need.service && rank(waiter, nowMs) <= rankOf(need)
@@ -64,7 +64,7 @@
   }
 
   /// Lets waiting calls go where places have become free.
-  recheck (): void {
+  processQueue (): void {
     const nowMs = performance.now()
     this.waiters.sort((a, b) => rank(a, nowMs) - rank(b, nowMs) || slackOf(a.need) - slackOf(b.need))
     for (const waiter of [...this.waiters]) this.settle(waiter, nowMs)
@@ -74,7 +74,7 @@
     }
   }
 
-  private wait (need: PlacementNeed, nowMs: number, signal: AbortSignal): Promise<Place> {
+  private wait (need: PlacementRequest, nowMs: number, signal: AbortSignal): Promise<InstanceLease> {
     this.log.event(Events.callWaiting, { callId: need.call.id, service: need.service, waiting: this.waiters.length })
     return new Promise((resolve, reject) => {
       const waiter = { need, since: nowMs, resolve, reject }
@@ -82,7 +82,7 @@
       signal.addEventListener('abort', () => {
         if (this.forget(waiter)) reject(new RefusedError(Refusal.timedOut, Verdict.notRun, 'the caller left while the call waited'))
       }, { once: true })
-      this.timer ??= setInterval(() => this.recheck(), recheckMs)
+      this.timer ??= setInterval(() => this.processQueue(), recheckMs)
     })
   }
 
@@ -108,18 +108,18 @@
     return at >= 0
   }
 
-  private tryPlace (candidates: readonly Instance[], need: PlacementNeed, nowMs: number): Place | null {
+  private tryPlace (candidates: readonly Instance[], need: PlacementRequest, nowMs: number): InstanceLease | null {
     const trusted = candidates.filter(instance => instance.suspectUntilMs <= nowMs)
     const open = (trusted.length > 0 ? trusted : candidates).filter(instance => hasRoom(instance, need, nowMs))
     const instance = chooseInstance(open, need, this.zone, nowMs)
     return instance === null ? null : this.take(instance)
   }
 
-  private candidates (need: PlacementNeed): Instance[] {
-    return [...this.registry.ofService(need.service)].filter(instance => !need.excluded.has(instance.description.id))
+  private candidates (need: PlacementRequest): Instance[] {
+    return [...this.registry.readyInstances(need.service)].filter(instance => !need.excluded.has(instance.description.id))
   }
 
-  private take (instance: Instance): Place {
+  private take (instance: Instance): InstanceLease {
     instance.running++
     let isHeld = true
     return {
@@ -128,13 +128,13 @@
         if (!isHeld) return
         isHeld = false
         instance.running--
-        if (this.waiters.length > 0) queueMicrotask(() => this.recheck())
+        if (this.waiters.length > 0) queueMicrotask(() => this.processQueue())
       }
     }
   }
 }
 
-function hasRoom (instance: Instance, need: PlacementNeed, nowMs: number): boolean {
+function hasRoom (instance: Instance, need: PlacementRequest, nowMs: number): boolean {
   const { slots } = instance.description
   const places = need.isContinuing ? slots + slackCalls : slots * newProgramShare
   return estimateRunning(instance, nowMs) < places
@@ -144,11 +144,11 @@
   return rankOf(waiter.need) - Math.floor((nowMs - waiter.since) / rankAgeMs)
 }
 
-function rankOf (need: PlacementNeed): number {
+function rankOf (need: PlacementRequest): number {
   return need.priority + (need.isContinuing ? 0 : newProgramRanks)
 }
 
-function slackOf (need: PlacementNeed): number {
+function slackOf (need: PlacementRequest): number {
   return need.call.program === null ? need.deadlineMs : need.call.receivedAtMs + need.call.program.remainingMs
 }
 
--- a/process/placement/test/placement.test.ts
+++ b/process/placement/test/placement.test.ts
@@ -1,10 +1,10 @@
 import { afterEach, beforeEach, expect, test, vi } from 'vitest'
 import { InstanceClient } from '#connection/upstream'
-import { InstanceRegistry, estimateRunning, noteFailure, noteLoad } from '#process/instances'
+import { InstanceRegistry, estimateRunning, recordFailure, recordLoad } from '#process/instances'
 import type { Instance } from '#process/instances'
 import { silentLog } from '#process/log'
 import { Placement, chooseInstance } from '#process/placement'
-import type { Place, PlacementNeed } from '#process/placement'
+import type { InstanceLease, PlacementRequest } from '#process/placement'
 import { readInstance } from '#platform'
 import { plainCall } from '#standin/call'
 
@@ -14,7 +14,7 @@
 beforeEach(() => {
   vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'performance'] })
   const connect = ({ address }: { address: string }): InstanceClient => new InstanceClient(address, 4)
-  registry = new InstanceRegistry({ readInstance, connect, onChange: () => {} }, silentLog)
+  registry = new InstanceRegistry({ parseInstance: readInstance, connect, onChange: () => {} }, silentLog)
   const objects = ['a', 'b'].map((name, i) => {
     const spec = { service: 's', address: `10.0.0.${i + 1}:80`, zone: `z${i}`, slots: 1, state: 'ready' }
     return { name, revision: 1, spec, status: null }
@@ -25,7 +25,7 @@
 
 afterEach(() => { vi.useRealTimers() })
 
-function need (id: string, fields: Partial<PlacementNeed> = {}, remainingMs = 5000): PlacementNeed {
+function need (id: string, fields: Partial<PlacementRequest> = {}, remainingMs = 5000): PlacementRequest {
   const call = plainCall(id, { program: { id, sessionId: id, remainingMs, tokenBudget: null } })
   return {
     call,
@@ -44,8 +44,8 @@
 const signal = new AbortController().signal
 
 /// Takes all places: one beyond its slot at each instance.
-async function fill (): Promise<Place[]> {
-  const places: Place[] = []
+async function fill (): Promise<InstanceLease[]> {
+  const places: InstanceLease[] = []
   for (let i = 0; i < 4; i++) places.push(await placement.acquire(need(`x${i}`), signal))
   return places
 }
@@ -55,7 +55,7 @@
 test('full instances are waited for: urgent first, then the program that ends first', async () => {
   const held = await fill()
   const order: string[] = []
-  const wait = (id: string, fields: Partial<PlacementNeed>, remainingMs: number): void => {
+  const wait = (id: string, fields: Partial<PlacementRequest>, remainingMs: number): void => {
     placement.acquire(need(id, fields, remainingMs), signal).then(place => {
       order.push(id)
       place.release()
@@ -119,23 +119,23 @@
   const waiting = placement.acquire(need('x3'), stop.signal).catch((error: unknown) => error)
   stop.abort()
   expect(await waiting).toMatchObject({ verdict: 'not-run' })
-  expect(placement.waiting).toBe(0)
+  expect(placement.queueLength).toBe(0)
 })
 
 test('an instance that failed is avoided for a while, not for ever', async () => {
-  noteFailure(instance('a'), performance.now())
+  recordFailure(instance('a'), performance.now())
   expect((await placement.acquire(need('x'), signal)).instance).toBe(instance('b'))
   await vi.advanceTimersByTimeAsync(400)
   expect((await placement.acquire(need('y'), signal)).instance).toBe(instance('a'))
 })
 
 test('what others have there fades with its age', () => {
-  noteLoad(instance('a'), { running: 3, waiting: 1, slots: 4 }, 1000)
+  recordLoad(instance('a'), { running: 3, waiting: 1, slots: 4 }, 1000)
   expect(estimateRunning(instance('a'), 1000)).toBe(4)
   expect(estimateRunning(instance('a'), 1400)).toBe(2)
 })
 
-test.each<[string, (a: Instance, b: Instance) => void, Partial<PlacementNeed>, string]>([
+test.each<[string, (a: Instance, b: Instance) => void, Partial<PlacementRequest>, string]>([
   ['the own zone, all else equal', () => {}, {}, 'a'],
   ['the less loaded one', a => { a.running = 3 }, {}, 'b'],
   ['the one that ran the turn before', () => {}, { previousInstanceId: 'b' }, 'b']
--- a/process/storage/test/budget.test.ts
+++ b/process/storage/test/budget.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import { afterEach, beforeEach, expect, test, vi } from 'vitest'
 import type { Call } from '#request/call'
-import { TurnAccount } from '#request/turn'
+import { TokenReservation } from '#request/turn'
 import { RouteKind } from '#version/configuration'
 import type { Route } from '#version/configuration'
 import { silentLog } from '#process/log'
@@ -46,8 +46,8 @@
 }
 
 /// Whether a turn through an entry may run.
-function opens (entry: number, tokenBudget: number): Promise<TurnAccount | null> {
-  return TurnAccount.open(callOf(tokenBudget), route, mostTokens, cluster.entries[entry]!, silentLog).catch(() => null)
+function opens (entry: number, tokenBudget: number): Promise<TokenReservation | null> {
+  return TokenReservation.acquire(callOf(tokenBudget), route, mostTokens, cluster.entries[entry]!, silentLog).catch(() => null)
 }
 
 // Each of three turns at once may see just one of the others: their reservations reach the
--- a/request/call/src/call.ts
+++ b/request/call/src/call.ts
@@ -7,9 +7,9 @@
   readonly path: string
   readonly host: string
   /// Headers to pass on, names and values alternating, as they were received.
-  readonly passedHeaders: readonly string[]
+  readonly forwardedHeaders: readonly string[]
   /// How long the caller waits, from `receivedAtMs`.
-  readonly patienceMs: number
+  readonly callerTimeoutMs: number
   /// On the runtime's monotonic clock.
   readonly receivedAtMs: number
   readonly program: ProgramRef | null
--- a/request/call/src/outcome.ts
+++ b/request/call/src/outcome.ts
@@ -13,7 +13,7 @@
   overloaded: 'overloaded',
   upstreamFailed: 'upstream-failed',
   timedOut: 'timed-out',
-  notKept: 'not-kept',
+  notPersisted: 'not-kept',
   internal: 'internal'
 } as const
 
--- a/request/forward/src/attempt.ts
+++ b/request/forward/src/attempt.ts
@@ -2,7 +2,7 @@
 import { UpstreamError } from '#connection/upstream'
 import type { ResponseHandler, InFlightRequest } from '#connection/upstream'
 import type { Call } from '#request/call'
-import { noteFailure, noteLoad, noteSuccess } from '#process/instances'
+import { recordFailure, recordLoad, recordSuccess } from '#process/instances'
 import { Events, reasonIn } from '#process/log'
 import type { EventLog } from '#process/log'
 import type { Instance } from '#process/instances'
@@ -25,7 +25,7 @@
   onHead (head: ResponseHead): void
   onData (chunk: Buffer): void
   /// Whether what came so far may be an end.
-  isWhole (): boolean
+  isComplete (): boolean
 }
 
 export interface AttemptRequest {
@@ -40,7 +40,7 @@
   /// Ends the attempt; the reason names why.
   readonly signal: AbortSignal
   /// The attempt ends where nothing has come for this long; 0 for never.
-  readonly silenceMs: number
+  readonly idleTimeoutMs: number
   readonly log: EventLog
 }
 
@@ -82,8 +82,8 @@
     const fields = codec.readResponse(head)
     const fault = faultOf(fields, head, call)
     if (fault !== null) return this.breakOff(fault)
-    if (fields.load !== null) noteLoad(instance, fields.load, performance.now())
-    noteSuccess(instance)
+    if (fields.load !== null) recordLoad(instance, fields.load, performance.now())
+    recordSuccess(instance)
     this.head = head
     if (fields.isNotRun || head.status === statusMisdirected) return this.finish({ kind: 'not-run', status: head.status })
     this.isStream = listener !== null && head.status === 200 && isEventStream(head)
@@ -113,7 +113,7 @@
     if (this.isOver) return
     if (this.head === null) this.breakOff('the answer has no head')
     else if (!this.isStream) this.finish({ kind: 'answer', head: this.head, body: Buffer.concat(this.chunks) })
-    else if (this.request.listener!.isWhole()) this.finish({ kind: 'stream-ended' })
+    else if (this.request.listener!.isComplete()) this.finish({ kind: 'stream-ended' })
     else this.breakOff('the stream ended within an event')
   }
 
@@ -133,7 +133,7 @@
 
   private suspect (reason: string): void {
     const { instance, call, log } = this.request
-    const suspicionMs = noteFailure(instance, performance.now())
+    const suspicionMs = recordFailure(instance, performance.now())
     const { id, address } = instance.description
     log.event(Events.instanceSuspected, {
       instanceId: id,
@@ -146,7 +146,7 @@
   }
 
   private restartSilence (): void {
-    const { silenceMs } = this.request
+    const { idleTimeoutMs: silenceMs } = this.request
     if (silenceMs === 0) return
     if (this.silence !== null) clearTimeout(this.silence)
     this.silence = setTimeout(() => {
--- a/request/forward/src/context.ts
+++ b/request/forward/src/context.ts
@@ -31,15 +31,15 @@
 }
 
 /// The caller's side of an answer.
-export interface CallerAnswer {
-  answer (head: ResponseHead, body: Buffer): void
-  open (head: ResponseHead): void
+export interface CallerResponse {
+  respond (head: ResponseHead, body: Buffer): void
+  startResponse (head: ResponseHead): void
   write (bytes: Buffer): void
   end (): void
   /// Closes the connection, so that the answer can't be taken for a whole one.
-  break (): void
-  readonly isOpen: boolean
+  abort (): void
+  readonly hasStarted: boolean
 }
 
 /// Why a call's signal was aborted.
-export const AbortReason = { callerLeft: 'caller-left', deadline: 'deadline' } as const
+export const AbortReason = { callerDisconnected: 'caller-left', deadline: 'deadline' } as const
--- a/request/forward/src/tries.ts
+++ b/request/forward/src/dispatcher.ts
@@ -1,6 +1,6 @@
 import { Refusal, RefusedError, Verdict } from '#request/call'
 import { Events } from '#process/log'
-import type { Place } from '#process/placement'
+import type { InstanceLease } from '#process/placement'
 import { attempt } from './attempt.js'
 import type { AttemptResult, StreamListener } from './attempt.js'
 import { AbortReason } from './context.js'
@@ -18,7 +18,7 @@
   readonly body: Buffer
   readonly lastEventId: number
   readonly listener: StreamListener | null
-  readonly silenceMs: number
+  readonly idleTimeoutMs: number
   /// Further inputs of the decision, for the log.
   readonly details: Readonly<Record<string, unknown>>
 }
@@ -37,7 +37,7 @@
   constructor (private readonly routed: RoutedCall, private readonly context: ForwardContext) {}
 
   /// Rejects with `RefusedError` where no instance may take the call in time.
-  findPlace (wish: PlaceWish): Promise<Place> {
+  findPlace (wish: PlaceWish): Promise<InstanceLease> {
     const { call, serviceName, service, route, deadlineMs, signal } = this.routed
     return this.context.placement.acquire({
       call,
@@ -51,7 +51,7 @@
   }
 
   /// Sends the call to a place, which is free again afterwards. Never rejects.
-  async send (place: Place, sending: Sending): Promise<AttemptResult> {
+  async send (place: InstanceLease, sending: Sending): Promise<AttemptResult> {
     const { routed, context } = this
     const { details, ...sent } = sending
     const { instance } = place
@@ -89,7 +89,7 @@
   }
 
   /// What was decided to send the call to this instance on.
-  private logDispatch ({ instance }: Place, details: Sending['details'], nowMs: number): void {
+  private logDispatch ({ instance }: InstanceLease, details: Sending['details'], nowMs: number): void {
     const { call, route, configVersion } = this.routed
     this.context.log.event(Events.callDispatched, {
       callId: call.id,
@@ -99,7 +99,7 @@
       instanceId: instance.description.id,
       running: instance.running,
       othersRunning: Math.round(instance.othersRunning),
-      loadAgeMs: Math.round(nowMs - instance.loadReadAtMs),
+      loadAgeMs: Math.round(nowMs - instance.loadReportedAtMs),
       ageMs: Math.round(nowMs - call.receivedAtMs),
       ...details
     })
--- a/request/forward/src/index.ts
+++ b/request/forward/src/index.ts
@@ -1,6 +1,6 @@
 export { attempt } from './attempt.js'
 export type { AttemptRequest, AttemptResult, StreamListener } from './attempt.js'
 export { AbortReason } from './context.js'
-export type { CallerAnswer, ForwardContext, RoutedCall } from './context.js'
+export type { CallerResponse, ForwardContext, RoutedCall } from './context.js'
 export { serveStream } from './stream.js'
 export { serveUnary } from './unary.js'
--- a/request/forward/src/stream.ts
+++ b/request/forward/src/stream.ts
@@ -1,14 +1,14 @@
 import type { ResponseHead } from '#connection/header'
 import type { LedgerRecord } from '#connection/rpc'
 import { Refusal, RefusedError, Verdict } from '#request/call'
-import { EventStreamParser, TurnAccount, promptOf, readHistory, turnRecord } from '#request/turn'
+import { EventStreamParser, TokenReservation, buildPrompt, readHistory, createTurnRecord } from '#request/turn'
 import type { StreamEvent } from '#request/turn'
 import { Events, messageOf } from '#process/log'
-import { noteCached } from '#process/instances'
-import type { Place } from '#process/placement'
+import { recordCachedParts } from '#process/instances'
+import type { InstanceLease } from '#process/placement'
 import type { AttemptResult, StreamListener } from './attempt.js'
-import type { CallerAnswer, ForwardContext, RoutedCall } from './context.js'
-import { Tries, reasonOf, verdictOf } from './tries.js'
+import type { CallerResponse, ForwardContext, RoutedCall } from './context.js'
+import { Tries, reasonOf, verdictOf } from './dispatcher.js'
 
 const maxKeepMs = 1500
 /// A resumable stream goes on elsewhere after this much silence.
@@ -22,7 +22,7 @@
 
 /// Serves a call whose answer is a stream of events. Rejects with `RefusedError`
 /// while nothing has gone to the caller; breaks the answer off after that.
-export async function serveStream (routed: RoutedCall, caller: CallerAnswer, context: ForwardContext): Promise<void> {
+export async function serveStream (routed: RoutedCall, caller: CallerResponse, context: ForwardContext): Promise<void> {
   const { call, route, service } = routed
   const tokensPerEvent = service?.engine?.tokensPerEvent ?? 1
   const mostTokens = roundUp(call.usage?.maxOutputTokens ?? 0, tokensPerEvent)
@@ -30,7 +30,7 @@
   const [history, account] = await openTurn(routed, mostTokens, context)
   const storageMs = performance.now() - startedAtMs
   context.metrics.observeMs('storage', storageMs)
-  const isFirst = account !== null && !account.hasOthers && history.length === 0
+  const isFirst = account !== null && !account.hasOtherTurns && history.length === 0
   const turn = new Turn(routed, caller, context, history, isFirst, tokensPerEvent, storageMs)
   try {
     const isStream = await turn.run()
@@ -46,11 +46,11 @@
   routed: RoutedCall,
   mostTokens: number,
   context: ForwardContext
-): Promise<[readonly LedgerRecord[], TurnAccount | null]> {
+): Promise<[readonly LedgerRecord[], TokenReservation | null]> {
   const { call, route } = routed
   const [history, account] = await Promise.allSettled([
     route.keepsHistory ? readHistory(call, context.ledger, context.cache) : [],
-    TurnAccount.open(call, route, mostTokens, context.ledger, context.log)
+    TokenReservation.acquire(call, route, mostTokens, context.ledger, context.log)
   ])
   if (history.status === 'rejected') {
     if (account.status === 'fulfilled') account.value?.settle(0)
@@ -72,14 +72,14 @@
 
   constructor (
     private readonly routed: RoutedCall,
-    private readonly caller: CallerAnswer,
+    private readonly caller: CallerResponse,
     private readonly context: ForwardContext,
     private readonly history: readonly LedgerRecord[],
     private readonly isFirst: boolean,
     private readonly tokensPerEvent: number,
     private readonly storageMs: number
   ) {
-    this.prompt = promptOf(history, routed.body)
+    this.prompt = buildPrompt(history, routed.body)
     this.tries = new Tries(routed, context)
     this.lastEventId = routed.call.lastEventId
   }
@@ -98,12 +98,12 @@
       this.instanceId = id
       const result = await this.sendOnce(place)
       if (result.kind === 'stream-ended') {
-        noteCached(place.instance, routed.call.prefix.map(part => part.id))
+        recordCachedParts(place.instance, routed.call.prefix.map(part => part.id))
         return true
       }
       if (result.kind === 'answer') {
-        if (caller.isOpen) throw this.broken('an answer that is no stream came instead of the rest')
-        caller.answer(result.head, result.body)
+        if (caller.hasStarted) throw this.broken('an answer that is no stream came instead of the rest')
+        caller.respond(result.head, result.body)
         return false
       }
       if (!this.tries.mayGoOn(result, routed.route.resumable)) throw this.tries.refusal(this.verdict, result)
@@ -120,30 +120,30 @@
   }
 
   /// Keeps the turn. The caller's answer isn't ended before that.
-  async keep (account: TurnAccount | null): Promise<void> {
+  async keep (account: TokenReservation | null): Promise<void> {
     const { routed, context, caller } = this
-    if (!caller.isOpen) return
+    if (!caller.hasStarted) return
     const output = Buffer.concat(this.output)
-    const record = turnRecord(routed.call, routed.route, routed.body, output, this.tokens, this.instanceId)
+    const record = createTurnRecord(routed.call, routed.route, routed.body, output, this.tokens, this.instanceId)
     const timeoutMs = Math.min(maxKeepMs, routed.deadlineMs - performance.now())
     const startedAtMs = performance.now()
     try {
       await context.ledger.append([record], timeoutMs)
     } catch (error) {
-      throw new RefusedError(Refusal.notKept, Verdict.ran, messageOf(error))
+      throw new RefusedError(Refusal.notPersisted, Verdict.ran, messageOf(error))
     }
     context.metrics.observeMs('keep', performance.now() - startedAtMs)
     context.cache.add(record)
-    account?.settledByTurn()
+    account?.markSettled()
   }
 
   end (): void {
-    if (this.caller.isOpen) this.caller.end()
+    if (this.caller.hasStarted) this.caller.end()
   }
 
   onHead (head: ResponseHead): void {
     this.parser = new EventStreamParser()
-    if (!this.caller.isOpen) this.caller.open(head)
+    if (!this.caller.hasStarted) this.caller.startResponse(head)
   }
 
   onData (chunk: Buffer): void {
@@ -159,8 +159,8 @@
     }
   }
 
-  isWhole (): boolean {
-    return !this.parser.hasPartial
+  isComplete (): boolean {
+    return !this.parser.hasPartialEvent
   }
 
   /// Counts an event before it goes to the caller; throws where it isn't the next one.
@@ -176,7 +176,7 @@
     if (this.routed.route.keepsHistory) this.output.push(Buffer.from(event.data), lineFeed)
   }
 
-  private async findPlace (): Promise<Place> {
+  private async findPlace (): Promise<InstanceLease> {
     const previous = this.history[this.history.length - 1]
     const previousInstanceId = previous === undefined || previous.instanceId === '' ? null : previous.instanceId
     try {
@@ -199,12 +199,12 @@
     return (deadlineMs - performance.now()) * maxWaitShare
   }
 
-  private sendOnce (place: Place): Promise<AttemptResult> {
+  private sendOnce (place: InstanceLease): Promise<AttemptResult> {
     return this.tries.send(place, {
       body: this.prompt,
       lastEventId: this.lastEventId,
       listener: this,
-      silenceMs: this.routed.route.resumable ? silenceMs : 0,
+      idleTimeoutMs: this.routed.route.resumable ? silenceMs : 0,
       details: {
         history: this.history.length,
         promptBytes: this.prompt.length,
--- a/request/forward/src/unary.ts
+++ b/request/forward/src/unary.ts
@@ -1,9 +1,9 @@
 import { RouteKind } from '#version/configuration'
 import { Events } from '#process/log'
-import type { Place } from '#process/placement'
+import type { InstanceLease } from '#process/placement'
 import type { AttemptResult } from './attempt.js'
-import type { CallerAnswer, ForwardContext, RoutedCall } from './context.js'
-import { Tries, reasonOf, verdictOf } from './tries.js'
+import type { CallerResponse, ForwardContext, RoutedCall } from './context.js'
+import { Tries, reasonOf, verdictOf } from './dispatcher.js'
 
 /// An idempotent call is sent elsewhere after this much silence, by its target latency.
 const silencePerTarget = 4
@@ -12,7 +12,7 @@
 const maxWaitShare = 0.6
 
 /// Serves a call whose answer is passed on whole. Rejects with `RefusedError`.
-export async function serveUnary (routed: RoutedCall, caller: CallerAnswer, context: ForwardContext): Promise<void> {
+export async function serveUnary (routed: RoutedCall, caller: CallerResponse, context: ForwardContext): Promise<void> {
   const { call, route } = routed
   const isIdempotent = route.kind === RouteKind.idempotent
   const tries = new Tries(routed, context)
@@ -23,7 +23,7 @@
     const hasAlternative = isIdempotent && tries.sent + 1 < route.maxInstances
     const silenceMs = hasAlternative ? Math.max(minSilenceMs, route.targetLatencyMs * silencePerTarget) : 0
     const { body } = routed
-    const result = await tries.send(place, { body, lastEventId: -1, listener: null, silenceMs, details: {} })
+    const result = await tries.send(place, { body, lastEventId: -1, listener: null, idleTimeoutMs: silenceMs, details: {} })
     if (result.kind === 'answer') {
       lastAnswer = result
       if (!hasAlternative || result.head.status < 500) break
@@ -38,12 +38,12 @@
       sent: tries.sent
     })
   }
-  if (lastAnswer !== null) caller.answer(lastAnswer.head, lastAnswer.body)
+  if (lastAnswer !== null) caller.respond(lastAnswer.head, lastAnswer.body)
   else throw tries.refusal(verdictOf(tries.mayHaveRun), null)
 }
 
 /// Null where an earlier answer or failure has to do.
-async function findPlace (routed: RoutedCall, tries: Tries, hasAnswer: boolean): Promise<Place | null> {
+async function findPlace (routed: RoutedCall, tries: Tries, hasAnswer: boolean): Promise<InstanceLease | null> {
   try {
     const maxWaitMs = (routed.deadlineMs - performance.now()) * maxWaitShare
     return await tries.findPlace({ previousInstanceId: null, isContinuing: true, maxWaitMs })
--- a/request/turn/src/chaincache.ts
+++ b/request/turn/src/chaincache.ts
@@ -20,7 +20,7 @@
   }
 
   /// The turn's chain, oldest first; null where a part isn't cached.
-  chainOf (turnId: string): LedgerRecord[] | null {
+  getChain (turnId: string): LedgerRecord[] | null {
     const chain: LedgerRecord[] = []
     for (let id = turnId; id !== '';) {
       const turn = this.turns.get(id)
--- a/request/turn/src/eventstream.ts
+++ b/request/turn/src/eventstream.ts
@@ -13,7 +13,7 @@
   private rest: Buffer = Buffer.alloc(0)
 
   /// Whether bytes of an event that isn't whole yet are left.
-  get hasPartial (): boolean {
+  get hasPartialEvent (): boolean {
     return this.rest.length > 0
   }
 
--- a/request/turn/src/history.ts
+++ b/request/turn/src/history.ts
@@ -5,7 +5,7 @@
 import type { Route } from '#version/configuration'
 import { messageOf } from '#process/log'
 import type { ChainCache } from './chaincache.js'
-import { blankRecord } from './ledger.js'
+import { createRecord } from './ledger.js'
 import type { TurnLedger } from './ledger.js'
 
 const findTimeoutMs = 900
@@ -19,7 +19,7 @@
   cache: ChainCache
 ): Promise<readonly LedgerRecord[]> {
   if (call.previousTurnId === null) return []
-  const cached = cache.chainOf(call.previousTurnId)
+  const cached = cache.getChain(call.previousTurnId)
   if (cached !== null) return cached
   const chain = await findChain(call.previousTurnId, ledger)
   for (const turn of chain) cache.add(turn)
@@ -38,13 +38,13 @@
 }
 
 /// The prompt that an instance gets: inputs and outputs of the turns before, then the new input.
-export function promptOf (history: readonly LedgerRecord[], input: Buffer): Buffer {
+export function buildPrompt (history: readonly LedgerRecord[], input: Buffer): Buffer {
   if (history.length === 0) return input
   return Buffer.concat([...history.flatMap(turn => [turn.input, turn.output]), input])
 }
 
 /// The record that keeps a turn.
-export function turnRecord (
+export function createTurnRecord (
   call: Call,
   route: Route,
   input: Buffer,
@@ -53,7 +53,7 @@
   instanceId: string
 ): LedgerRecord {
   return {
-    ...blankRecord(RecordKind.turn, call.id, call.program?.id ?? '', route.retentionMs),
+    ...createRecord(RecordKind.turn, call.id, call.program?.id ?? '', route.retentionMs),
     previousId: call.previousTurnId ?? '',
     input,
     output,
--- a/request/turn/src/index.ts
+++ b/request/turn/src/index.ts
@@ -1,6 +1,6 @@
-export { TurnAccount, countTokens } from './account.js'
+export { TokenReservation, countTokens } from './tokenreservation.js'
 export { ChainCache } from './chaincache.js'
 export { EventStreamParser } from './eventstream.js'
 export type { StreamEvent } from './eventstream.js'
-export { promptOf, readHistory, turnRecord } from './history.js'
+export { buildPrompt, readHistory, createTurnRecord } from './history.js'
 export type { TurnLedger } from './ledger.js'
--- a/request/turn/src/ledger.ts
+++ b/request/turn/src/ledger.ts
@@ -10,7 +10,7 @@
 }
 
 /// A record without what only some kinds have.
-export function blankRecord (kind: number, id: string, programId: string, retentionMs: number): LedgerRecord {
+export function createRecord (kind: number, id: string, programId: string, retentionMs: number): LedgerRecord {
   return {
     kind,
     id,
--- a/request/turn/src/account.ts
+++ b/request/turn/src/tokenreservation.ts
@@ -6,7 +6,7 @@
 import { pause } from '#process/clock'
 import { Events, messageOf } from '#process/log'
 import type { EventLog } from '#process/log'
-import { blankRecord } from './ledger.js'
+import { createRecord } from './ledger.js'
 import type { TurnLedger } from './ledger.js'
 
 const reserveTimeoutMs = 900
@@ -23,9 +23,9 @@
 const minAccountRetentionMs = 60_000
 
 /// One turn's share of its program's token budget.
-export class TurnAccount {
+export class TokenReservation {
   /// Whether other turns of the program have spent tokens or are about to.
-  hasOthers = false
+  hasOtherTurns = false
   private isSettled = false
 
   private constructor (
@@ -38,23 +38,23 @@
 
   /// Reserves the most that the turn may generate. Rejects with `RefusedError`
   /// where the budget is spent, or where the account can't be known.
-  static async open (
+  static async acquire (
     call: Call,
     route: Route,
     mostTokens: number,
     ledger: TurnLedger,
     log: EventLog
-  ): Promise<TurnAccount | null> {
+  ): Promise<TokenReservation | null> {
     const budget = call.program?.tokenBudget ?? null
     if (call.program === null || budget === null) return null
     const retentionMs = Math.max(route.retentionMs, minAccountRetentionMs)
-    const account = new TurnAccount(ledger, log, call.id, call.program.id, retentionMs)
+    const account = new TokenReservation(ledger, log, call.id, call.program.id, retentionMs)
     const entries = await account.reserve(mostTokens)
     const spent = countTokens(entries.filter(entry => entry.settled), call.id)
     let others = countTokens(entries, call.id)
     const isClose = others > 0 && others + openTogether * mostTokens > budget
     if (isClose && spent < budget) others = await account.countAgain(budget)
-    account.hasOthers = others > 0
+    account.hasOtherTurns = others > 0
     if (others > 0 && others >= budget) {
       account.settle(0)
       throw new RefusedError(Refusal.budgetSpent, Verdict.notRun, `${others} of ${budget} tokens are spent or reserved`)
@@ -78,13 +78,13 @@
   }
 
   /// The turn's own record counts the tokens.
-  settledByTurn (): void {
+  markSettled (): void {
     this.isSettled = true
   }
 
   private async reserve (mostTokens: number): Promise<AccountEntry[]> {
     const record = {
-      ...blankRecord(RecordKind.reservation, this.callId, this.programId, this.retentionMs),
+      ...createRecord(RecordKind.reservation, this.callId, this.programId, this.retentionMs),
       tokens: mostTokens
     }
     return await this.orRefuse(this.ledger.reserve(record, reserveTimeoutMs))
@@ -119,7 +119,7 @@
   }
 
   private async keepSettling (tokens: number): Promise<void> {
-    const record = { ...blankRecord(RecordKind.settlement, this.callId, this.programId, this.retentionMs), tokens }
+    const record = { ...createRecord(RecordKind.settlement, this.callId, this.programId, this.retentionMs), tokens }
     for (let tries = 1; ; tries++) {
       try {
         await this.ledger.append([record], settleTimeoutMs)
