--- a/process/daemon/src/daemon.ts
+++ b/process/daemon/src/daemon.ts
@@ -9,7 +9,7 @@
 import { Metrics } from '#process/metrics'
 import { Role, parseSettings } from '#process/settings'
 import type { Settings } from '#process/settings'
-import { Membership } from '#process/storage'
+import { MembershipController } from '#process/storage'
 
 /// What a daemon needs of the platform that it runs on.
 export interface DaemonPlatform {
@@ -98,7 +98,7 @@
   const server = new LedgerServer(ledger)
   const address = `${node.ip}:${listen.peer_port}`
   await server.listen(address)
-  const membership = new Membership({
+  const membership = new MembershipController({
     name: node.name,
     address,
     zone: node.zone,
--- a/process/entry/src/entry.ts
+++ b/process/entry/src/entry.ts
@@ -13,7 +13,7 @@
 import type { InstanceDescription, ParseInstance } from '#process/instances'
 import { Events, messageOf } from '#process/log'
 import type { EventLog } from '#process/log'
-import { readView, viewName } from '#process/membership'
+import { parseView, viewObjectName } from '#process/membership'
 import type { Metrics } from '#process/metrics'
 import { Placement } from '#process/placement'
 import { LedgerQuorum } from '#process/quorum'
@@ -83,7 +83,7 @@
       zone: options.zone,
       toleratedLosses: options.toleratedLosses,
       connect: address => new LedgerConnectionPool(address),
-      onStale: () => this.readView()
+      onStaleView: () => this.readView()
     }, log)
     this.context = {
       codec: platform.headers,
@@ -134,12 +134,12 @@
   }
 
   private get isReady (): boolean {
-    return !this.isStopping && this.routes !== null && this.registry.hasListing && this.quorum.isReachable
+    return !this.isStopping && this.routes !== null && this.registry.hasListing && this.quorum.isAvailable
   }
 
   /// Whether callers should rather go to another entry.
   get isUnfit (): boolean {
-    return this.isStopping || !this.quorum.isReachable
+    return this.isStopping || !this.quorum.isAvailable
   }
 
   private async serve (exchange: Parameters<typeof serveExchange>[0]): Promise<void> {
@@ -181,8 +181,8 @@
     if (this.isReadingView || nowMs < this.nextViewReadMs) return
     this.isReadingView = true
     this.nextViewReadMs = nowMs + viewReadPauseMs
-    this.platform.store.get(ObjectKind.storageViews, viewName).then(object => {
-      if (object !== null) this.quorum.adopt(readView(object.spec), 'store')
+    this.platform.store.get(ObjectKind.storageViews, viewObjectName).then(object => {
+      if (object !== null) this.quorum.adoptView(parseView(object.spec), 'store')
     }).catch((error: unknown) => {
       this.log.event(Events.viewRejected, { error: messageOf(error) })
     }).finally(() => { this.isReadingView = false })
--- a/process/entry/test/harness.ts
+++ b/process/entry/test/harness.ts
@@ -8,7 +8,7 @@
 import { RouteTable } from '#version/configuration'
 import { serveExchange } from '#process/entry'
 import { InstanceRegistry } from '#process/instances'
-import { mergeEntry } from '#process/ledger'
+import { mergeAccountEntries } from '#process/ledger'
 import { silentLog } from '#process/log'
 import { Metrics } from '#process/metrics'
 import { Placement } from '#process/placement'
@@ -25,14 +25,14 @@
     for (const record of records) this.records.set(`${record.kind}/${record.id}`, record)
   }
 
-  async reserve (reservation: LedgerRecord): Promise<ReturnType<typeof mergeEntry>[]> {
+  async reserve (reservation: LedgerRecord): Promise<ReturnType<typeof mergeAccountEntries>[]> {
     await this.append([reservation])
     return await this.readAccount(reservation.programId)
   }
 
-  async readAccount (ofProgram: string): Promise<ReturnType<typeof mergeEntry>[]> {
+  async readAccount (ofProgram: string): Promise<ReturnType<typeof mergeAccountEntries>[]> {
     if (this.isAway) throw new Error('away')
-    const account = new Map<string, ReturnType<typeof mergeEntry>>()
+    const account = new Map<string, ReturnType<typeof mergeAccountEntries>>()
     for (const { kind, id, tokens, programId } of this.records.values()) {
       if (programId !== ofProgram) continue
       const entry = kind === 1
@@ -43,7 +43,7 @@
             settled: false
           }
         : { id, reserved: 0, spent: tokens, settled: true }
-      account.set(id, mergeEntry(account.get(id), entry))
+      account.set(id, mergeAccountEntries(account.get(id), entry))
     }
     return [...account.values()]
   }
--- a/process/ledger/src/disk.ts
+++ b/process/ledger/src/disk.ts
@@ -65,7 +65,7 @@
       this.pending = newBatch()
       setImmediate(() => this.writePending())
     }
-    for (const record of records) this.pending.frames.push(...frame(record))
+    for (const record of records) this.pending.frames.push(...encodeFrame(record))
     return this.pending.synced
   }
 
@@ -119,7 +119,7 @@
     this.segments = names.flatMap(name => segmentPattern.exec(name)?.[1] ?? []).map(Number).sort((a, b) => a - b)
     for (const segment of this.segments) {
       const bytes = readFileSync(join(this.folder, segmentName(segment)))
-      const { records, validBytes } = parseFrames(bytes)
+      const { records, validBytes } = decodeFrames(bytes)
       for (const record of records) found.push({ record, segment })
       if (validBytes < bytes.length) {
         this.log.event(Events.diskTailDropped, { segment, validBytes, bytes: bytes.length })
@@ -149,7 +149,7 @@
 }
 
 /// A record's bytes on disk: length and checksum, then the record.
-export function frame (record: LedgerRecord): [Buffer, Buffer] {
+export function encodeFrame (record: LedgerRecord): [Buffer, Buffer] {
   const body = Buffer.from(LedgerRecord.encode(record).finish())
   const head = Buffer.allocUnsafe(frameBytes)
   head.writeUInt32LE(body.length, 0)
@@ -158,7 +158,7 @@
 }
 
 /// Reads records up to the first frame that is torn.
-export function parseFrames (bytes: Buffer): { records: LedgerRecord[], validBytes: number } {
+export function decodeFrames (bytes: Buffer): { records: LedgerRecord[], validBytes: number } {
   const records: LedgerRecord[] = []
   let at = 0
   while (at + frameBytes <= bytes.length) {
--- a/process/ledger/src/index.ts
+++ b/process/ledger/src/index.ts
@@ -1,5 +1,5 @@
-export { Disk, frame, parseFrames } from './disk.js'
+export { Disk, encodeFrame, decodeFrames } from './disk.js'
 export type { DiskContents } from './disk.js'
 export { Ledger } from './ledger.js'
 export { RecordKind } from '#connection/rpc'
-export { Records, keyOf, mergeEntry } from './records.js'
+export { RecordIndex, recordKey, mergeAccountEntries } from './records.js'
--- a/process/ledger/src/ledger.ts
+++ b/process/ledger/src/ledger.ts
@@ -2,7 +2,7 @@
 import type { AppendReply, AppendRequest, DigestReply, DigestRequest, FetchReply, FetchRequest, FindChainReply, FindChainRequest, LedgerHandler, LedgerRecord, Standing, View } from '#connection/rpc'
 import { emptyView } from '#process/membership'
 import type { Disk, DiskContents } from './disk.js'
-import { Records, keyOf } from './records.js'
+import { RecordIndex, recordKey } from './records.js'
 
 const maxFetchBytes = 2 * 1024 * 1024
 // Segments beyond this are emptied, oldest first, into the newest one.
@@ -11,7 +11,7 @@
 /// One storage instance's records: held in memory, synced on its disk before
 /// an append is acknowledged.
 export class Ledger implements LedgerHandler {
-  readonly records = new Records()
+  readonly records = new RecordIndex()
   /// Names this process's order of arrivals.
   private readonly epoch = randomBytes(6).toString('hex')
   /// The newest membership that this instance knows.
@@ -30,12 +30,12 @@
     return this.disk.diskId
   }
 
-  adopt (view: View): void {
+  adoptView (view: View): void {
     if (view.version > this.view.version) this.view = view
   }
 
   async append (request: AppendRequest): Promise<AppendReply> {
-    await this.keep(request.records)
+    await this.persist(request.records)
     const account = request.accountOf === '' ? [] : this.records.accountOf(request.accountOf)
     return { standing: this.standing(request.viewVersion), account }
   }
@@ -67,13 +67,13 @@
   }
 
   /// Holds records and resolves once they are synced.
-  async keep (records: readonly LedgerRecord[]): Promise<void> {
+  async persist (records: readonly LedgerRecord[]): Promise<void> {
     if (this.failure !== null) throw this.failure
     const added = records.flatMap(record => this.records.add(record) ?? [])
-    const waits = records.flatMap(record => this.syncing.get(keyOf(record)) ?? [])
+    const waits = records.flatMap(record => this.syncing.get(recordKey(record)) ?? [])
     if (added.length > 0) {
       const synced = this.disk.append(added.map(held => held.record))
-      const keys = added.map(held => keyOf(held.record))
+      const keys = added.map(held => recordKey(held.record))
       for (const key of keys) this.syncing.set(key, synced)
       try {
         const segment = await synced
--- a/process/ledger/src/records.ts
+++ b/process/ledger/src/records.ts
@@ -14,7 +14,7 @@
 
 /// The records of one storage instance, indexed by key, turn and program, and
 /// listed in the order of their arrival. Times are wall-clock milliseconds.
-export class Records {
+export class RecordIndex {
   private readonly byKey = new Map<string, HeldRecord>()
   private readonly accounts = new Map<string, Map<string, AccountEntry>>()
   /// Until when turns that aren't held yet are needed by later ones that are.
@@ -32,7 +32,7 @@
 
   /// Adds a record and returns it, or null where it is held already.
   add (record: LedgerRecord, segment = -1): HeldRecord | null {
-    const key = keyOf(record)
+    const key = recordKey(record)
     if (this.byKey.has(key)) return null
     const ownUntilMs = record.recordedAtMs + record.retentionMs + retentionSlackMs
     const held = { record, segment, keepUntilMs: Math.max(ownUntilMs, this.neededUntilMs.get(key) ?? 0) }
@@ -101,7 +101,7 @@
     if (record.programId === '') return
     let account = this.accounts.get(record.programId)
     if (account === undefined) this.accounts.set(record.programId, account = new Map())
-    account.set(record.id, mergeEntry(account.get(record.id), entryOf(record)))
+    account.set(record.id, mergeAccountEntries(account.get(record.id), entryOf(record)))
   }
 
   private extendChain (previousId: string, untilMs: number): void {
@@ -129,7 +129,7 @@
   }
 }
 
-export function keyOf (record: LedgerRecord): string {
+export function recordKey (record: LedgerRecord): string {
   return `${record.kind}/${record.id}`
 }
 
@@ -150,7 +150,7 @@
 }
 
 /// Joins what two sources know of one reservation.
-export function mergeEntry (a: AccountEntry | undefined, b: AccountEntry): AccountEntry {
+export function mergeAccountEntries (a: AccountEntry | undefined, b: AccountEntry): AccountEntry {
   if (a === undefined) return b
   return {
     id: b.id,
--- a/process/ledger/test/disk.test.ts
+++ b/process/ledger/test/disk.test.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path'
 import { afterEach, beforeEach, expect, test } from 'vitest'
 import type { LedgerRecord } from '#connection/rpc'
-import { Disk, Ledger, RecordKind, Records, frame, parseFrames } from '#process/ledger'
+import { Disk, Ledger, RecordKind, RecordIndex, encodeFrame, decodeFrames } from '#process/ledger'
 import { silentLog } from '#process/log'
 
 let folder = ''
@@ -27,7 +27,7 @@
 
 test('what was acknowledged is there after a restart, under the same disk', async () => {
   const first = reopen()
-  await first.keep([record(RecordKind.turn, 't1'), record(RecordKind.turn, 't2', { previousId: 't1' })])
+  await first.persist([record(RecordKind.turn, 't1'), record(RecordKind.turn, 't2', { previousId: 't1' })])
   const second = reopen()
   expect(second.diskId).toBe(first.diskId)
   expect(second.records.chainOf('t2')?.records.map(turn => turn.id)).toEqual(['t1', 't2'])
@@ -39,12 +39,12 @@
   ['zeros behind the records', (path: string) => appendFileSync(path, Buffer.alloc(4096))]
 ])('%s costs at most the last record, and later ones are kept', async (_, damage) => {
   const first = reopen()
-  await first.keep([record(RecordKind.turn, 't1')])
-  await first.keep([record(RecordKind.turn, 't2')])
+  await first.persist([record(RecordKind.turn, 't1')])
+  await first.persist([record(RecordKind.turn, 't2')])
   damage(newestSegment())
   const second = reopen()
   expect(second.records.chainOf('t1')).not.toBeNull()
-  await second.keep([record(RecordKind.turn, 't3')])
+  await second.persist([record(RecordKind.turn, 't3')])
   expect(reopen().records.chainOf('t3')).not.toBeNull()
 })
 
@@ -59,20 +59,20 @@
 test('a repeated append changes nothing and waits for the first one', async () => {
   const ledger = reopen()
   const turn = record(RecordKind.turn, 't1')
-  await Promise.all([ledger.keep([turn]), ledger.keep([turn])])
+  await Promise.all([ledger.persist([turn]), ledger.persist([turn])])
   expect(ledger.records.count).toBe(1)
 })
 
 test('a frame with a wrong checksum ends what is read', () => {
-  const bytes = Buffer.concat([...frame(record(RecordKind.turn, 'a')), ...frame(record(RecordKind.turn, 'b'))])
-  const whole = parseFrames(bytes)
+  const bytes = Buffer.concat([...encodeFrame(record(RecordKind.turn, 'a')), ...encodeFrame(record(RecordKind.turn, 'b'))])
+  const whole = decodeFrames(bytes)
   expect(whole.records.map(turn => turn.id)).toEqual(['a', 'b'])
   bytes[bytes.length - 1]! ^= 1
-  expect(parseFrames(bytes).records.map(turn => turn.id)).toEqual(['a'])
+  expect(decodeFrames(bytes).records.map(turn => turn.id)).toEqual(['a'])
 })
 
 test('a turn keeps its chain; what nobody continues is forgotten', () => {
-  const records = new Records()
+  const records = new RecordIndex()
   records.add(record(RecordKind.turn, 'a'))
   records.add(record(RecordKind.turn, 'lonely'))
   records.add(record(RecordKind.turn, 'b', { previousId: 'a', recordedAtMs: 50_000 }))
@@ -85,7 +85,7 @@
 })
 
 test('an account joins reservations, settlements and turns', () => {
-  const records = new Records()
+  const records = new RecordIndex()
   records.add(record(RecordKind.reservation, 'r1', { tokens: 100 }))
   records.add(record(RecordKind.reservation, 'r2', { tokens: 100 }))
   records.add(record(RecordKind.settlement, 'r1', { tokens: 30 }))
--- a/process/ledger/test/records.test.ts
+++ b/process/ledger/test/records.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest'
-import { RecordKind, Records } from '#process/ledger'
+import { RecordKind, RecordIndex } from '#process/ledger'
 import type { LedgerRecord } from '#connection/rpc'
 
 const retentionMs = 10_000
@@ -32,7 +32,7 @@
   ['the middle last', [0, 2, 1]],
   ['the first last', [1, 2, 0]]
 ])('turns added %s: the chain stays whole as long as its latest turn', (_, order) => {
-  const records = new Records()
+  const records = new RecordIndex()
   for (const i of order) records.add(chain[i]!)
   records.expire(afterTwoMs)
   expect(records.chainOf('c')?.records.map(record => record.id)).toEqual(['a', 'b', 'c'])
--- a/process/membership/src/codec.ts
+++ b/process/membership/src/codec.ts
@@ -9,7 +9,7 @@
 const states: ReadonlySet<unknown> = new Set(Object.values(MemberState))
 
 /// Reads a membership from the platform's store.
-export function readView (spec: unknown): View {
+export function parseView (spec: unknown): View {
   const { version, members, leaveVersion } = (spec ?? {}) as Partial<Record<string, unknown>>
   if (!isCount(version) || !isCount(leaveVersion) || !Array.isArray(members)) throw new ViewFormatError('not a membership')
   return { version, leaveVersion, members: members.map(readMember) }
--- a/process/membership/src/index.ts
+++ b/process/membership/src/index.ts
@@ -1,3 +1,3 @@
-export { ViewFormatError, readView } from './codec.js'
-export { MemberState, canSpare, copiesNeeded, emptyView, isSuperfluous, quorumRule, viewName, withCompleted, withLeaving, withMember, withSynced } from './view.js'
-export type { QuorumRule } from './view.js'
+export { ViewFormatError, parseView } from './codec.js'
+export { MemberState, canLeave, requiredCopySources, emptyView, canEvict, computeQuorums, viewObjectName, withServing, withLeaving, withMember, withSynced } from './view.js'
+export type { Quorums } from './view.js'
--- a/process/membership/src/view.ts
+++ b/process/membership/src/view.ts
@@ -12,13 +12,13 @@
 export type MemberState = typeof MemberState[keyof typeof MemberState]
 
 /// The name of the membership's object in the platform's store.
-export const viewName = 'current'
+export const viewObjectName = 'current'
 
 /// The membership before any storage instance has registered.
 export const emptyView: View = { version: 0, members: [], leaveVersion: 0 }
 
 /// Whose answers count for what, under one view.
-export interface QuorumRule {
+export interface Quorums {
   /// Members whose synced append counts.
   readonly writers: ReadonlySet<string>
   /// Synced appends after which a record can't be lost.
@@ -35,7 +35,7 @@
 /// time. An append counts once one more disk than that holds it; whoever
 /// answers for a certain absence must be so many that one of them would have
 /// held it.
-export function quorumRule (view: View, toleratedLosses: number): QuorumRule {
+export function computeQuorums (view: View, toleratedLosses: number): Quorums {
   const slots = view.members.filter(isSlot)
   const writers = slots.filter(member => member.state !== MemberState.leaving)
   const knowers = slots.filter(member => member.state !== MemberState.joining)
@@ -51,7 +51,7 @@
 
 /// How many other complete members a joining one must copy, so that it holds
 /// every counted record.
-export function copiesNeeded (view: View, toleratedLosses: number): number {
+export function requiredCopySources (view: View, toleratedLosses: number): number {
   return Math.max(1, view.members.filter(isSlot).length - toleratedLosses)
 }
 
@@ -78,7 +78,7 @@
 }
 
 /// Marks a joining member as complete.
-export function withCompleted (view: View, diskId: string): View {
+export function withServing (view: View, diskId: string): View {
   const member = view.members.find(other => other.diskId === diskId)
   if (member === undefined || member.state !== MemberState.joining) return view
   return replaceMember(view, { ...member, state: MemberState.serving, replacement: false })
@@ -107,13 +107,13 @@
 }
 
 /// Whether all but `name` would still hold the view's promises.
-export function canSpare (view: View, name: string, toleratedLosses: number): boolean {
+export function canLeave (view: View, name: string, toleratedLosses: number): boolean {
   const rest = view.members.filter(member => member.state === MemberState.serving && member.name !== name)
   return rest.length >= toleratedLosses + 1
 }
 
 /// Whether the present members without one are as many as a system at its full strength needs.
-export function isSuperfluous (
+export function canEvict (
   view: View,
   diskId: string,
   present: ReadonlySet<string>,
--- a/process/membership/test/view.test.ts
+++ b/process/membership/test/view.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, test } from 'vitest'
 import type { Member, View } from '#connection/rpc'
 import {
-  MemberState, copiesNeeded, emptyView, isSuperfluous, quorumRule, readView, withCompleted, withLeaving, withMember,
+  MemberState, requiredCopySources, emptyView, canEvict, computeQuorums, parseView, withServing, withLeaving, withMember,
   withSynced
 } from '#process/membership'
 
@@ -28,7 +28,7 @@
     ['one of four leaving: it is read, not relied on', leaving, 1, { writers: 3, appends: 2, knowers: 4, absences: 3, accounts: 3 }],
     ['nine, two losses', members(...'abcdefghi'), 2, { writers: 9, appends: 3, knowers: 9, absences: 7, accounts: 5 }]
   ])('%s', (_, view, losses, expected) => {
-    const rule = quorumRule(view, losses)
+    const rule = computeQuorums(view, losses)
     expect({ ...rule, writers: rule.writers.size, knowers: rule.knowers.size }).toEqual(expected)
   })
 
@@ -45,7 +45,7 @@
     12
   ].flatMap(size => [0, 1, 2, 3].filter(losses => size > losses).map(losses => [size, losses])))(
     '%i members with %i losses: an absence meets every append, two accounts meet', (size, losses) => {
-      const rule = quorumRule(members(...Array.from({ length: size! }, (_, i) => `m${i}`)), losses!)
+      const rule = computeQuorums(members(...Array.from({ length: size! }, (_, i) => `m${i}`)), losses!)
       expect(rule.absences + rule.appends).toBeGreaterThan(size!)
       expect(2 * rule.accounts).toBeGreaterThan(size!)
     })
@@ -67,9 +67,9 @@
 
   test('a joining member that is complete serves; how many it must copy', () => {
     const wiped = join(members('a', 'b', 'c'), 'a', 'a2', false)
-    expect(copiesNeeded(wiped, 1)).toBe(2)
-    expect(copiesNeeded(join(members('a', 'b', 'c'), 'd', 'd', false), 1)).toBe(2)
-    expect(stateOf(withCompleted(wiped, 'a2'), 'a')).toMatchObject({ state: MemberState.serving, replacement: false })
+    expect(requiredCopySources(wiped, 1)).toBe(2)
+    expect(requiredCopySources(join(members('a', 'b', 'c'), 'd', 'd', false), 1)).toBe(2)
+    expect(stateOf(withServing(wiped, 'a2'), 'a')).toMatchObject({ state: MemberState.serving, replacement: false })
   })
 
   test('a leaving member goes once every other one has said that it holds all', () => {
@@ -82,15 +82,15 @@
 
   test('a member gives way only while enough others are present', () => {
     const view = members('a', 'b', 'c', 'd')
-    expect(isSuperfluous(view, 'a', new Set(['b', 'c', 'd']), 1)).toBe(true)
-    expect(isSuperfluous(view, 'a', new Set(['b', 'c']), 1)).toBe(false)
-    expect(isSuperfluous(members('a', 'b', 'c'), 'a', new Set(['b', 'c']), 1)).toBe(false)
+    expect(canEvict(view, 'a', new Set(['b', 'c', 'd']), 1)).toBe(true)
+    expect(canEvict(view, 'a', new Set(['b', 'c']), 1)).toBe(false)
+    expect(canEvict(members('a', 'b', 'c'), 'a', new Set(['b', 'c']), 1)).toBe(false)
   })
 
   test('every change has a higher version, and survives the store', () => {
     const view = withLeaving(members('a', 'b', 'c'), 'a')
     expect(view.version).toBe(4)
-    expect(readView(JSON.parse(JSON.stringify(view)))).toEqual(view)
-    expect(() => readView({ version: 1, leaveVersion: 0, members: [{ name: 'a' }] })).toThrow('not a member')
+    expect(parseView(JSON.parse(JSON.stringify(view)))).toEqual(view)
+    expect(() => parseView({ version: 1, leaveVersion: 0, members: [{ name: 'a' }] })).toThrow('not a member')
   })
 })
--- a/process/quorum/src/quorum.ts
+++ b/process/quorum/src/quorum.ts
@@ -1,11 +1,11 @@
 import { PeerError } from '#connection/rpc'
 import type { AccountEntry, AppendReply, LedgerPeer, LedgerRecord, Member, Standing, View } from '#connection/rpc'
 import { pause } from '#process/clock'
-import { mergeEntry } from '#process/ledger'
+import { mergeAccountEntries } from '#process/ledger'
 import { Events, messageOf } from '#process/log'
 import type { EventLog } from '#process/log'
-import { emptyView, quorumRule } from '#process/membership'
-import type { QuorumRule } from '#process/membership'
+import { emptyView, computeQuorums } from '#process/membership'
+import type { Quorums } from '#process/membership'
 
 /// The storage instances could not be asked, or too few of them answered.
 export class QuorumError extends Error {
@@ -17,7 +17,7 @@
   readonly toleratedLosses: number
   readonly connect: (address: string) => LedgerPeer
   /// Called where an answer shows that the view may be out of date.
-  readonly onStale: () => void
+  readonly onStaleView: () => void
 }
 
 const callTimeoutMs = 400
@@ -37,7 +37,7 @@
 /// The storage instances as one: a record counts, and is absent, by quorum.
 export class LedgerQuorum {
   private view: View = emptyView
-  private rule: QuorumRule = quorumRule(emptyView, 0)
+  private rule: Quorums = computeQuorums(emptyView, 0)
   private peers: PeerState[] = []
   private prober: ReturnType<typeof setInterval> | null = null
 
@@ -47,10 +47,10 @@
     return this.view.version
   }
 
-  adopt (view: View, source: string): void {
+  adoptView (view: View, source: string): void {
     if (view.version <= this.view.version) return
     this.view = view
-    this.rule = quorumRule(view, this.options.toleratedLosses)
+    this.rule = computeQuorums(view, this.options.toleratedLosses)
     const before = this.peers
     this.peers = view.members.map(member => {
       const known = before.find(state => isSameDisk(state.member, member))
@@ -59,12 +59,12 @@
     })
     for (const old of before) if (!this.peers.some(state => state.peer === old.peer)) old.peer.close()
     this.log.event(Events.viewAdopted, { version: view.version, source, members: view.members.length })
-    if (!this.isReachable) this.startProbing()
+    if (!this.isAvailable) this.startProbing()
   }
 
   /// Whether so many members seem to be up that appends can count. While they
   /// aren't, requests fail at once instead of waiting for the time to run out.
-  get isReachable (): boolean {
+  get isAvailable (): boolean {
     const up = this.peers.filter(state => !state.isDown && this.rule.writers.has(state.member.diskId))
     return up.length >= this.rule.appends
   }
@@ -98,7 +98,7 @@
     })
     const account = new Map<string, AccountEntry>()
     for (const reply of replies.values()) {
-      for (const entry of reply.account) account.set(entry.id, mergeEntry(account.get(entry.id), entry))
+      for (const entry of reply.account) account.set(entry.id, mergeAccountEntries(account.get(entry.id), entry))
     }
     return [...account.values()]
   }
@@ -190,7 +190,7 @@
   ): Promise<Reply | null> {
     while (true) {
       const leftMs = deadlineMs - performance.now()
-      if (leftMs <= 1 || (givesUp && state.isDown && !this.isReachable)) return null
+      if (leftMs <= 1 || (givesUp && state.isDown && !this.isAvailable)) return null
       try {
         const reply = await call(state.peer, Math.min(leftMs, callTimeoutMs))
         this.heed(state, reply.standing!)
@@ -208,15 +208,15 @@
       state.isDown = false
       this.log.event(Events.memberRegained, { member: state.member.name })
     }
-    if (standing.newerView !== undefined) this.adopt(standing.newerView, state.member.name)
-    if (standing.diskId !== state.member.diskId) this.options.onStale()
+    if (standing.newerView !== undefined) this.adoptView(standing.newerView, state.member.name)
+    if (standing.diskId !== state.member.diskId) this.options.onStaleView()
   }
 
   private noteFailure (state: PeerState, error: unknown): void {
     if (error instanceof PeerError && !error.isSilent) return
     if (!state.isDown) this.log.event(Events.memberLost, { member: state.member.name, error: messageOf(error) })
     state.isDown = true
-    this.options.onStale()
+    this.options.onStaleView()
     this.startProbing()
   }
 
@@ -228,7 +228,7 @@
   /// while this one has too few members that are up.
   private probe (): void {
     const down = this.peers.filter(state => state.isDown)
-    if (!this.isReachable) this.options.onStale()
+    if (!this.isAvailable) this.options.onStaleView()
     else if (down.length === 0 && this.prober !== null) {
       clearInterval(this.prober)
       this.prober = null
@@ -244,7 +244,7 @@
   private refuseIfUnreachable (): void {
     // A view with too few members, none of them down, is an old one: an answer brings the newer one.
     const isOld = this.peers.length > 0 && !this.peers.some(state => state.isDown)
-    if (!this.isReachable && !isOld) throw new QuorumError('too few storage instances are up')
+    if (!this.isAvailable && !isOld) throw new QuorumError('too few storage instances are up')
   }
 
   private byDistance (): PeerState[] {
--- a/process/quorum/test/quorum.test.ts
+++ b/process/quorum/test/quorum.test.ts
@@ -25,8 +25,8 @@
     members.push({ name, diskId: disk.diskId, address, zone: name, state: 'serving', replacement: false, syncedView: 0 })
   }
   view = { version: 3, members, leaveVersion: 0 }
-  quorum = new LedgerQuorum({ zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStale: () => {} }, silentLog)
-  quorum.adopt(view, 'test')
+  quorum = new LedgerQuorum({ zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => {} }, silentLog)
+  quorum.adoptView(view, 'test')
 })
 
 afterEach(async () => {
@@ -80,9 +80,9 @@
     const address = `127.0.0.1:${await server.listen('127.0.0.1:0')}`
     members.push({ name, diskId: disk.diskId, address, zone: name, state: 'serving', replacement: false, syncedView: 0 })
   }
-  for (const ledger of ledgers) ledger.adopt({ version: 9, members, leaveVersion: 0 })
-  const stale = new LedgerQuorum({ zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStale: () => {} }, silentLog)
-  stale.adopt({ version: 8, members: members.slice(0, 1), leaveVersion: 0 }, 'test')
+  for (const ledger of ledgers) ledger.adoptView({ version: 9, members, leaveVersion: 0 })
+  const stale = new LedgerQuorum({ zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => {} }, silentLog)
+  stale.adoptView({ version: 8, members: members.slice(0, 1), leaveVersion: 0 }, 'test')
   await stale.append([record(RecordKind.turn, 't1')], 900)
   expect(ledgers.filter(ledger => ledger.records.count === 1).length).toBeGreaterThan(1)
   stale.close()
@@ -91,10 +91,10 @@
 test('a view with too few members is asked for again without any call', async () => {
   let asked = 0
   const stale = new LedgerQuorum({
-    zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStale: () => { asked++ }
+    zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => { asked++ }
   }, silentLog)
-  stale.adopt({ ...view, members: view.members.slice(0, 1) }, 'test')
-  expect(stale.isReachable).toBe(false)
+  stale.adoptView({ ...view, members: view.members.slice(0, 1) }, 'test')
+  expect(stale.isAvailable).toBe(false)
   await new Promise(resolve => setTimeout(resolve, 500))
   expect(asked).toBeGreaterThan(0)
   stale.close()
--- a/process/storage/src/copier.ts
+++ b/process/storage/src/copier.ts
@@ -46,7 +46,7 @@
       const { records } = await this.peer.fetch({ keys: asked }, callTimeoutMs)
       // A key that expired at the peer meanwhile isn't owed any more.
       if (records.length === 0) return copied
-      await this.ledger.keep(records)
+      await this.ledger.persist(records)
       copied += records.length
       const wasPartial = records.length < asked.length
       const left = asked.filter(key => this.ledger.records.get(key) === undefined)
--- a/process/storage/src/index.ts
+++ b/process/storage/src/index.ts
@@ -1,2 +1,2 @@
-export { Membership } from './membership.js'
+export { MembershipController } from './membership.js'
 export type { MembershipOptions } from './membership.js'
--- a/process/storage/src/membership.ts
+++ b/process/storage/src/membership.ts
@@ -4,7 +4,7 @@
 import type { Ledger } from '#process/ledger'
 import { Events, messageOf } from '#process/log'
 import type { EventLog } from '#process/log'
-import { MemberState, canSpare, copiesNeeded, emptyView, isSuperfluous, readView, viewName, withCompleted, withLeaving, withMember, withSynced } from '#process/membership'
+import { MemberState, canLeave, requiredCopySources, emptyView, canEvict, parseView, viewObjectName, withServing, withLeaving, withMember, withSynced } from '#process/membership'
 import { PeerCopier } from './copier.js'
 import type { CopyMark } from './copier.js'
 
@@ -44,7 +44,7 @@
 
 /// Takes part in the storage membership: registers this disk, copies what it
 /// lacks, and changes the view in the platform's store by conditional writes.
-export class Membership {
+export class MembershipController {
   private view: View = emptyView
   private revision = 0
   private isKnown = false
@@ -64,7 +64,7 @@
 
   start (): void {
     const views = { kind: ObjectKind.storageViews, waitMs: viewWaitMs, pauseMs: watchPauseMs }
-    this.stops.push(watchObject(this.store, views, viewName, object => this.onView(object), this.log))
+    this.stops.push(watchObject(this.store, views, viewObjectName, object => this.onView(object), this.log))
     this.stops.push(watchObjects(this.store, {
       kind: ObjectKind.retirements,
       waitMs: retirementWaitMs,
@@ -94,7 +94,7 @@
     this.isKnown = true
     if (object !== null && object.revision > this.revision) {
       try {
-        this.adopt(readView(object.spec), object.revision)
+        this.adopt(parseView(object.spec), object.revision)
       } catch (error) {
         this.log.event(Events.viewRejected, { revision: object.revision, error: messageOf(error) })
       }
@@ -106,7 +106,7 @@
     this.revision = revision
     if (view.version <= this.view.version) return
     this.view = view
-    this.ledger.adopt(view)
+    this.ledger.adoptView(view)
     this.meetPeers()
     this.log.event(Events.viewAdopted, { version: view.version, revision, members: view.members.map(describe) })
   }
@@ -155,7 +155,7 @@
     const joined = withMember(view, { name, diskId: ledger.diskId, address, zone }, options.isFirstStart)
     if (joined !== view) return this.isRetired(name) ? view : joined
     const own = view.members.find(member => member.diskId === ledger.diskId)
-    if (own?.state === MemberState.joining && this.holdsAll()) return withCompleted(view, ledger.diskId)
+    if (own?.state === MemberState.joining && this.holdsAll()) return withServing(view, ledger.diskId)
     const leaver = this.memberToLeave(nowMs)
     if (leaver !== null) return withLeaving(view, leaver)
     const isBehind = own?.state === MemberState.serving && own.syncedView < view.leaveVersion
@@ -168,7 +168,7 @@
       const member = this.memberOf(state)
       return member !== undefined && member.state !== MemberState.joining && state.mark?.diskId === member.diskId
     })
-    return copied.length >= copiesNeeded(this.view, this.options.toleratedLosses)
+    return copied.length >= requiredCopySources(this.view, this.options.toleratedLosses)
   }
 
   private holdsAllSince (viewVersion: number): boolean {
@@ -183,12 +183,12 @@
     const { view, options } = this
     if (view.members.some(member => member.state === MemberState.leaving)) return null
     for (const member of view.members) {
-      if (this.isRetired(member.name) && canSpare(view, member.name, options.toleratedLosses)) return member.name
+      if (this.isRetired(member.name) && canLeave(view, member.name, options.toleratedLosses)) return member.name
     }
     const present = this.presentDisks(nowMs)
     for (const state of this.peers.values()) {
       if (nowMs - state.lastContactMs < unreachableAfterMs) continue
-      if (isSuperfluous(view, state.member.diskId, present, options.toleratedLosses)) return state.member.name
+      if (canEvict(view, state.member.diskId, present, options.toleratedLosses)) return state.member.name
     }
     return null
   }
@@ -216,8 +216,8 @@
 
   private async writeOnce (next: View): Promise<void> {
     const object = this.revision === 0
-      ? await this.store.create(ObjectKind.storageViews, viewName, next)
-      : await this.store.update(ObjectKind.storageViews, viewName, next, this.revision)
+      ? await this.store.create(ObjectKind.storageViews, viewObjectName, next)
+      : await this.store.update(ObjectKind.storageViews, viewObjectName, next, this.revision)
     this.log.event(Events.viewChanged, {
       from: this.view.version,
       to: next.version,
@@ -233,7 +233,7 @@
   }
 
   private async readAgain (): Promise<void> {
-    const object = await this.store.get(ObjectKind.storageViews, viewName)
+    const object = await this.store.get(ObjectKind.storageViews, viewObjectName)
     if (object !== null) this.onView(object)
   }
 
--- a/process/storage/test/cluster.ts
+++ b/process/storage/test/cluster.ts
@@ -9,9 +9,9 @@
 import { pause } from '#process/clock'
 import { Disk, Ledger, RecordKind } from '#process/ledger'
 import { silentLog } from '#process/log'
-import { MemberState, readView } from '#process/membership'
+import { MemberState, parseView } from '#process/membership'
 import { LedgerQuorum } from '#process/quorum'
-import { Membership } from '#process/storage'
+import { MembershipController } from '#process/storage'
 
 export const startSize = 3
 const toleratedLosses = 1
@@ -89,7 +89,7 @@
   readonly address: string
   folder: string
   ledger: Ledger | null
-  membership: Membership | null
+  membership: MembershipController | null
   isGone: boolean
 }
 
@@ -111,7 +111,7 @@
       zone: 'z',
       toleratedLosses,
       connect: address => this.peer(`entry${i}`, address),
-      onStale: () => this.readView().catch(() => {})
+      onStaleView: () => this.readView().catch(() => {})
     }, silentLog))
   }
 
@@ -142,7 +142,7 @@
 
   get view (): View | null {
     const object = (this.store as unknown as { objects: Map<string, StoredObject> }).objects.get(`${ObjectKind.storageViews}/current`)
-    return object === undefined ? null : readView(object.spec)
+    return object === undefined ? null : parseView(object.spec)
   }
 
   /// Whether another disk may be lost: all members are up and complete.
@@ -240,7 +240,7 @@
   private async readView (): Promise<void> {
     const object = await this.store.get(ObjectKind.storageViews, 'current')
     if (object === null) return
-    for (const entry of this.entries) entry.adopt(readView(object.spec), 'store')
+    for (const entry of this.entries) entry.adoptView(parseView(object.spec), 'store')
   }
 
   private newNode (): Node {
@@ -253,7 +253,7 @@
   private boot (node: Node, isFirst: boolean): void {
     const { disk, contents } = Disk.open(node.folder, silentLog)
     const ledger = node.ledger = new Ledger(disk, contents)
-    node.membership = new Membership({
+    node.membership = new MembershipController({
       name: node.name,
       address: node.address,
       zone: 'z',
