--- a/connection/rpc/src/server.ts
+++ b/connection/rpc/src/server.ts
@@ -1,6 +1,6 @@
 import { Server, ServerCredentials } from '@grpc/grpc-js'
 import type { ServerDuplexStream } from '@grpc/grpc-js'
-import { reasonIn } from '#process/log'
+import { errorMessage } from '#process/log'
 import { LedgerService } from './generated/ledger.js'
 import type { AppendReply, AppendRequest, DigestReply, DigestRequest, FetchReply, FetchRequest, FindChainReply, FindChainRequest, Replies, Reply, Request, Requests } from './generated/ledger.js'
 
@@ -41,7 +41,7 @@
     session.on('data', ({ requests }: Requests) => {
       for (const request of requests) {
         this.answer(request)
-          .catch((error: unknown) => ({ error: reasonIn(error) }))
+          .catch((error: unknown) => ({ error: errorMessage(error) }))
           .then(reply => replies.add({ ...blankReply, ...reply, number: request.number }))
       }
     })
--- a/connection/store/src/watch.ts
+++ b/connection/store/src/watch.ts
@@ -1,5 +1,5 @@
-import { pause } from '#process/clock'
-import { Events, messageOf } from '#process/log'
+import { sleep } from '#process/clock'
+import { Events, formatError } from '#process/log'
 import type { EventLog } from '#process/log'
 import { HistoryGoneError } from './store.js'
 import type { ObjectStore, StoreChange, StoreListing, StoredObject } from './store.js'
@@ -27,7 +27,7 @@
 export function watchObjects (store: ObjectStore, options: WatchOptions, follower: WatchHandler, log: EventLog): () => void {
   const stop = new AbortController()
   run(store, options, follower, log, stop.signal).catch((error: unknown) => {
-    log.event(Events.unexpectedError, { where: `following ${options.kind}`, error: messageOf(error) })
+    log.event(Events.unexpectedError, { where: `following ${options.kind}`, error: formatError(error) })
   })
   return () => stop.abort()
 }
@@ -69,8 +69,8 @@
     } catch (error) {
       if (signal.aborted) return
       if (!(error instanceof HistoryGoneError)) wasInterrupted = true
-      log.event(Events.watchRestarted, { kind: options.kind, error: messageOf(error) })
-      await pause(retryMs * (0.75 + Math.random() / 2))
+      log.event(Events.watchRestarted, { kind: options.kind, error: formatError(error) })
+      await sleep(retryMs * (0.75 + Math.random() / 2))
       retryMs = Math.min(retryMs * 2, maxRetryMs)
     }
   }
@@ -89,6 +89,6 @@
     revision = Math.max(revision, next)
     if (changes.length === 0) continue
     follower.onChanges(changes)
-    await pause(options.pauseMs)
+    await sleep(options.pauseMs)
   }
 }
--- a/demo/src/soak.ts
+++ b/demo/src/soak.ts
@@ -1,4 +1,4 @@
-import { pause } from '#process/clock'
+import { sleep } from '#process/clock'
 import { StandinSystem } from '#standin/system'
 import type { SystemNode } from '#standin/system'
 import { StoreFault } from '#standin/store'
@@ -27,7 +27,7 @@
   async round => system.restart(pick(system.entries, round), 'SIGKILL', false),
   async () => {
     system.store.fault = StoreFault.silent
-    await pause(outageMs)
+    await sleep(outageMs)
     system.store.fault = StoreFault.none
   },
   async round => system.restart(pick(system.entries, round), 'SIGTERM', false),
@@ -49,9 +49,9 @@
     }
   })
   for (let round = 0; round < rounds; round++) {
-    await pause(outageMs)
+    await sleep(outageMs)
     await faults[round % faults.length]!(round)
-    await pause(settleMs)
+    await sleep(settleMs)
     await system.waitUntilReady()
   }
   progress.isOver = true
--- a/emulator/policy/src/emulation.ts
+++ b/emulator/policy/src/emulation.ts
@@ -1,8 +1,8 @@
-import { pause } from '#process/clock'
+import { sleep } from '#process/clock'
 import type { Call } from '#request/call'
 import { InstanceRegistry, recordCachedParts, recordLoad } from '#process/instances'
 import type { Instance } from '#process/instances'
-import { silentLog } from '#process/log'
+import { noopLog } from '#process/log'
 import type { InstanceLease, PlacementRequest } from '#process/placement'
 import { plainCall } from '#standin/call'
 import { EmulatedEngine } from './engine.js'
@@ -70,14 +70,14 @@
   }
 
   private async playProgram (program: TracedProgram): Promise<{ outcome: 'inAim' | 'late' | 'failed', worth: number }> {
-    await pause(program.startMs)
+    await sleep(program.startMs)
     const startedAtMs = performance.now()
     const aimMs = this.idleMs(program) * aimFactor + targetLatencyMs
     const before: string[] = []
     for (const [i, turn] of program.turns.entries()) {
       if (!await this.playTurn(program, turn, i, before)) return { outcome: 'failed', worth: program.worth }
       before.push(`${program.id}/${i}`)
-      await pause(turn.thinkMs)
+      await sleep(turn.thinkMs)
     }
     const tookMs = performance.now() - startedAtMs
     const outcome = tookMs <= aimMs ? 'inAim' : tookMs <= aimMs * latestFactor ? 'late' : 'failed'
@@ -92,7 +92,7 @@
     before: readonly string[]
   ): Promise<boolean> {
     for (let tries = 0; tries < turnTries; tries++) {
-      if (tries > 0) await pause(retryAfterMs)
+      if (tries > 0) await sleep(retryAfterMs)
       const call = callOf(program, turn, index, before)
       const place = await this.placeOf(program, call, index).catch(() => null)
       if (place === null) continue
@@ -108,7 +108,7 @@
     return this.entries[program.entry]!.policy.acquire({
       call,
       service,
-      engine: { slots: 0, memoryTokens: 0, tokensPerEvent: 1 },
+      engine: { slots: 0, kvCapacityTokens: 0, tokensPerEvent: 1 },
       priority: program.priority,
       excluded: new Set(),
       previousInstanceId: null,
@@ -120,7 +120,7 @@
 
   private async runAt ({ instance }: InstanceLease, call: Call, turn: TracedTurn): Promise<boolean> {
     const sentAtMs = performance.now()
-    await pause(wayMs)
+    await sleep(wayMs)
     await new Promise<void>(resolve => this.engines.get(instance.description.id)!.run({
       prefix: call.prefix,
       outputTokens: turn.outputTokens,
@@ -146,7 +146,7 @@
       parseInstance: object => object.spec as Instance['description'],
       connect: () => ({ close: () => {} }) as unknown as Instance['client'],
       onChange: () => {}
-    }, silentLog)
+    }, noopLog)
     const objects = this.options.engines.map(({ slots }, i) => {
       const id = `${service}-${i}`
       return { name: id, revision: 1, status: null, spec: { id, service, address: `10.0.0.${i + 1}:80`, zone: 'z', slots, isReady: true } }
--- a/emulator/policy/src/policies.ts
+++ b/emulator/policy/src/policies.ts
@@ -1,5 +1,5 @@
 import type { InstanceRegistry, Instance } from '#process/instances'
-import { silentLog } from '#process/log'
+import { noopLog } from '#process/log'
 import { Placement } from '#process/placement'
 import type { InstanceLease } from '#process/placement'
 import type { MakePolicy, PlacementPolicy } from './emulation.js'
@@ -10,8 +10,8 @@
 export const policies: Readonly<Record<string, MakePolicy>> = {
   'round robin': registry => new PlainPolicy(registry, takeInTurn()),
   'least loaded': registry => new PlainPolicy(registry, leastLoaded),
-  'every program begun': registry => beginEveryProgram(new Placement(registry, zone, silentLog)),
-  chosen: registry => new Placement(registry, zone, silentLog)
+  'every program begun': registry => beginEveryProgram(new Placement(registry, zone, noopLog)),
+  chosen: registry => new Placement(registry, zone, noopLog)
 }
 
 type Choose = (instances: readonly Instance[]) => Instance
--- a/process/clock/src/index.ts
+++ b/process/clock/src/index.ts
@@ -1,2 +1,2 @@
-export { pause } from './pause.js'
-export { StallWatch } from './stallwatch.js'
+export { sleep } from './sleep.js'
+export { StallDetector } from './stalldetector.js'
--- /dev/null
+++ b/process/clock/src/sleep.ts
@@ -0,0 +1,4 @@
+/// Resolves after a time on the runtime's clock.
+export function sleep (durationMs: number): Promise<void> {
+  return new Promise(resolve => setTimeout(resolve, durationMs))
+}
--- a/process/clock/src/stallwatch.ts
+++ b/process/clock/src/stalldetector.ts
@@ -3,7 +3,7 @@
 const stalledMs = 250
 
 /// Notices when the loop stood still: a frozen machine, or one with too little processor.
-export class StallWatch {
+export class StallDetector {
   private dueMs = performance.now() + checkEveryMs
   private readonly timer = setInterval(() => this.check(), checkEveryMs)
 
--- a/process/clock/test/stallwatch.test.ts
+++ b/process/clock/test/stalldetector.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, expect, test, vi } from 'vitest'
-import { StallWatch } from '#process/clock'
+import { StallDetector } from '#process/clock'
 
 let nowMs = 0
 
@@ -20,7 +20,7 @@
   ['a process that stood still for 3 s', [500, 4000, 4500], [3000]]
 ])('%s', (_, checkedAtMs, expected) => {
   const stalls: number[] = []
-  const watch = new StallWatch(lateMs => stalls.push(lateMs))
+  const watch = new StallDetector(lateMs => stalls.push(lateMs))
   for (const atMs of checkedAtMs) {
     nowMs = atMs
     vi.advanceTimersByTime(500)
--- a/process/daemon/src/daemon.ts
+++ b/process/daemon/src/daemon.ts
@@ -1,11 +1,11 @@
 import { readFileSync } from 'node:fs'
 import { serveStatus } from '#connection/front'
 import { LedgerConnection, LedgerServer } from '#connection/rpc'
-import { StallWatch } from '#process/clock'
+import { StallDetector } from '#process/clock'
 import { Entry } from '#process/entry'
 import type { EntryPlatform } from '#process/entry'
 import { Disk, Ledger } from '#process/ledger'
-import { Events, ProcessLog, messageOf } from '#process/log'
+import { Events, ProcessLog, formatError } from '#process/log'
 import { Metrics } from '#process/metrics'
 import { Role, parseSettings } from '#process/settings'
 import type { Settings } from '#process/settings'
@@ -41,10 +41,10 @@
   const log = new ProcessLog(settings.node.name, settings.node.role)
   const metrics = new Metrics()
   process.on('uncaughtException', error => {
-    log.event(Events.unexpectedError, { where: 'process', error: messageOf(error), stack: error.stack })
+    log.event(Events.unexpectedError, { where: 'process', error: formatError(error), stack: error.stack })
   })
   process.on('unhandledRejection', error => {
-    log.event(Events.unexpectedError, { where: 'promise', error: messageOf(error) })
+    log.event(Events.unexpectedError, { where: 'promise', error: formatError(error) })
   })
   const running = await startByRole[settings.node.role]({
     settings,
@@ -61,7 +61,7 @@
     pid: process.pid,
     startMs: Math.round(performance.now())
   })
-  const watch = new StallWatch(lateMs => log.event(Events.processStalled, { lateMs }))
+  const watch = new StallDetector(lateMs => log.event(Events.processStalled, { lateMs }))
   process.on('SIGHUP', () => reload(settingsFile, log))
   process.once('SIGTERM', () => {
     log.event(Events.processStopping, { signal: 'SIGTERM', graceMs: settings.timing.stop_grace_ms })
@@ -71,7 +71,7 @@
       log.flush()
       process.exit(0)
     }, (error: unknown) => {
-      log.event(Events.unexpectedError, { where: 'stop', error: messageOf(error) })
+      log.event(Events.unexpectedError, { where: 'stop', error: formatError(error) })
       log.flush()
       process.exit(1)
     })
@@ -108,10 +108,10 @@
   }, platform.store, ledger, log)
   membership.start()
   const compaction = setInterval(() => {
-    ledger.compact(Date.now()).catch((error: unknown) => log.event(Events.diskFailed, { error: messageOf(error) }))
+    ledger.compact(Date.now()).catch((error: unknown) => log.event(Events.diskFailed, { error: formatError(error) }))
   }, compactEveryMs)
   ledger.onFailure = error => endAfterFailure(log, error)
-  metrics.gauge('records', () => ledger.records.count)
+  metrics.addGauge('records', () => ledger.records.count)
   return {
     stop: async () => {
       clearInterval(compaction)
@@ -128,13 +128,13 @@
     parseSettings(settingsFile, readFileSync(settingsFile, 'utf8'))
     log.event(Events.settingsReloaded, { file: settingsFile })
   } catch (error) {
-    log.event(Events.settingsRejected, { file: settingsFile, error: messageOf(error) })
+    log.event(Events.settingsRejected, { file: settingsFile, error: formatError(error) })
   }
 }
 
 /// What a disk holds after a failed write isn't known; the next start reads it anew.
 function endAfterFailure (log: ProcessLog, error: Error): void {
-  log.event(Events.processStopped, { reason: messageOf(error) })
+  log.event(Events.processStopped, { reason: formatError(error) })
   log.flush()
   process.exit(1)
 }
--- a/process/entry/src/entry.ts
+++ b/process/entry/src/entry.ts
@@ -8,17 +8,17 @@
 import { InstanceClient } from '#connection/upstream'
 import { RouteTable } from '#version/configuration'
 import type { Configuration } from '#version/configuration'
-import { pause } from '#process/clock'
+import { sleep } from '#process/clock'
 import { InstanceRegistry } from '#process/instances'
 import type { InstanceDescription, ParseInstance } from '#process/instances'
-import { Events, messageOf } from '#process/log'
+import { Events, formatError } from '#process/log'
 import type { EventLog } from '#process/log'
 import { parseView, viewObjectName } from '#process/membership'
 import type { Metrics } from '#process/metrics'
 import { Placement } from '#process/placement'
 import { LedgerQuorum } from '#process/quorum'
 import { serveExchange } from './serve.js'
-import type { ServeState } from './serve.js'
+import type { EntryState } from './serve.js'
 
 export interface EntryOptions {
   readonly zone: string
@@ -33,9 +33,9 @@
 export interface EntryPlatform {
   readonly headers: HeaderCodec
   readonly store: ObjectStore
-  readonly readInstance: ParseInstance
+  readonly parseInstance: ParseInstance
   /// Throws where the object holds no configuration.
-  readonly readConfiguration: (object: StoredObject) => Configuration
+  readonly parseConfiguration: (object: StoredObject) => Configuration
 }
 
 const configurationName = 'main'
@@ -53,7 +53,7 @@
 const drainCheckMs = 50
 
 /// The role before the callers: routes, waits, forwards and streams.
-export class Entry implements ServeState {
+export class Entry implements EntryState {
   routes: RouteTable | null = null
   isStopping = false
   private configurationRevision = 0
@@ -74,7 +74,7 @@
     private readonly metrics: Metrics
   ) {
     this.registry = new InstanceRegistry({
-      parseInstance: platform.readInstance,
+      parseInstance: platform.parseInstance,
       connect: description => this.connect(description),
       onChange: () => placement.processQueue()
     }, log)
@@ -97,8 +97,8 @@
       serve: exchange => this.serve(exchange),
       onMalformed: code => log.event(Events.requestMalformed, { code })
     })
-    metrics.gauge('calls_under_way', () => this.underWay)
-    metrics.gauge('calls_waiting', () => placement.queueLength)
+    metrics.addGauge('calls_under_way', () => this.underWay)
+    metrics.addGauge('calls_waiting', () => placement.queueLength)
   }
 
   async start (): Promise<void> {
@@ -124,12 +124,12 @@
     const startedAtMs = performance.now()
     const lastMs = startedAtMs + this.options.stopGraceMs - stopMarginMs
     this.isStopping = true
-    await pause(Math.min(stopAcceptingAfterMs, this.options.stopGraceMs / 2))
+    await sleep(Math.min(stopAcceptingAfterMs, this.options.stopGraceMs / 2))
     const closing = this.front.close()
-    while (this.underWay > 0 && performance.now() < lastMs) await pause(drainCheckMs)
-    await Promise.race([closing, pause(Math.max(0, lastMs - performance.now()))])
+    while (this.underWay > 0 && performance.now() < lastMs) await sleep(drainCheckMs)
+    await Promise.race([closing, sleep(Math.max(0, lastMs - performance.now()))])
     for (const stop of this.stops) stop()
-    await Promise.race([Promise.all(this.closes.map(close => close())), pause(drainCheckMs)])
+    await Promise.race([Promise.all(this.closes.map(close => close())), sleep(drainCheckMs)])
     this.quorum.close()
   }
 
@@ -138,7 +138,7 @@
   }
 
   /// Whether callers should rather go to another entry.
-  get isUnfit (): boolean {
+  get shouldCloseConnections (): boolean {
     return this.isStopping || !this.quorum.isAvailable
   }
 
@@ -154,7 +154,7 @@
   private configure (object: StoredObject): void {
     if (object.revision <= this.configurationRevision) return
     try {
-      const configuration = this.platform.readConfiguration(object)
+      const configuration = this.platform.parseConfiguration(object)
       if (this.routes !== null && configuration.version <= this.routes.configuration.version) return
       this.configurationRevision = object.revision
       this.routes = new RouteTable(configuration)
@@ -165,7 +165,7 @@
         routes: configuration.routes.length
       })
     } catch (error) {
-      this.log.event(Events.configurationRejected, { revision: object.revision, error: messageOf(error) })
+      this.log.event(Events.configurationRejected, { revision: object.revision, error: formatError(error) })
     }
   }
 
@@ -184,7 +184,7 @@
     this.platform.store.get(ObjectKind.storageViews, viewObjectName).then(object => {
       if (object !== null) this.quorum.adoptView(parseView(object.spec), 'store')
     }).catch((error: unknown) => {
-      this.log.event(Events.viewRejected, { error: messageOf(error) })
+      this.log.event(Events.viewRejected, { error: formatError(error) })
     }).finally(() => { this.isReadingView = false })
   }
 }
--- a/process/entry/src/serve.ts
+++ b/process/entry/src/serve.ts
@@ -6,14 +6,14 @@
 import type { ResponseHead, HeaderCodec } from '#connection/header'
 import { RouteKind, pickTarget } from '#version/configuration'
 import type { RouteTable } from '#version/configuration'
-import { Events, messageOf } from '#process/log'
+import { Events, formatError } from '#process/log'
 
 /// What serving needs of the process at each moment.
-export interface ServeState {
+export interface EntryState {
   /// Null before the first configuration.
   readonly routes: RouteTable | null
   /// Callers are asked to open their next connection to another entry.
-  readonly isUnfit: boolean
+  readonly shouldCloseConnections: boolean
 }
 
 type Serve = (routed: RoutedCall, caller: CallerResponse, context: ForwardContext) => Promise<void>
@@ -28,7 +28,7 @@
 const noConfigurationRetryMs = 300
 
 /// Serves one exchange from its head to the end of the answer. Never rejects.
-export async function serveExchange (exchange: Exchange, state: ServeState, context: ForwardContext): Promise<void> {
+export async function serveExchange (exchange: Exchange, state: EntryState, context: ForwardContext): Promise<void> {
   const receivedAtMs = performance.now()
   const stop = new AbortController()
   exchange.onDisconnect(() => stop.abort(AbortReason.callerDisconnected))
@@ -41,7 +41,7 @@
     const body = await exchange.readBody(maxBodyBytes)
     const routed = routeCall(call, body, state, stop.signal)
     timer = setTimeout(() => stop.abort(AbortReason.deadline), routed.deadlineMs - performance.now())
-    context.metrics.count(`calls_total{kind="${routed.route.kind}"}`)
+    context.metrics.increment(`calls_total{kind="${routed.route.kind}"}`)
     await serveByKind[routed.route.kind](routed, answer, context)
     noteEnd(call, receivedAtMs, answer, stop.signal, context)
   } catch (error) {
@@ -60,7 +60,7 @@
   }
 }
 
-function routeCall (call: Call, body: Buffer, state: ServeState, signal: AbortSignal): RoutedCall {
+function routeCall (call: Call, body: Buffer, state: EntryState, signal: AbortSignal): RoutedCall {
   const { routes } = state
   if (routes === null) {
     throw new RefusedError(Refusal.noConfiguration, Verdict.notRun, 'no configuration is known yet', noConfigurationRetryMs)
@@ -98,7 +98,7 @@
     return
   }
   context.metrics.observeMs('call', durationMs)
-  context.metrics.count(`answers_total{status="${answer.status}"}`)
+  context.metrics.increment(`answers_total{status="${answer.status}"}`)
   context.log.event(Events.callFinished, {
     callId: call.id,
     programId: call.program?.id,
@@ -121,16 +121,16 @@
     : new RefusedError(
       Refusal.internal,
       Verdict.mayHaveRun,
-      messageOf(error)
+      formatError(error)
     )
-  if (refused !== error) context.log.event(Events.unexpectedError, { callId: call?.id ?? '', where: 'serving a call', error: messageOf(error) })
+  if (refused !== error) context.log.event(Events.unexpectedError, { callId: call?.id ?? '', where: 'serving a call', error: formatError(error) })
   const durationMs = Math.round(performance.now() - receivedAtMs)
   const fields = { callId: call?.id ?? '', programId: call?.program?.id, refusal: refused.refusal, verdict: refused.verdict, reason: refused.message, durationMs }
   if (signal.aborted && signal.reason === AbortReason.callerDisconnected) {
     context.log.event(Events.callAbandoned, fields)
     return
   }
-  context.metrics.count(`refusals_total{refusal="${refused.refusal}"}`)
+  context.metrics.increment(`refusals_total{refusal="${refused.refusal}"}`)
   if (answer.hasStarted) {
     context.log.event(Events.answerBroken, { ...fields, bytes: answer.bytes })
     answer.abort()
@@ -148,7 +148,7 @@
   constructor (
     private readonly exchange: Exchange,
     private readonly codec: HeaderCodec,
-    private readonly state: ServeState
+    private readonly state: EntryState
   ) {}
 
   get hasStarted (): boolean {
@@ -158,12 +158,12 @@
   respond (head: ResponseHead, body: Buffer): void {
     this.status = head.status
     this.bytes = body.length
-    this.exchange.respond(head.status, this.codec.filterResponseHeaders(head), body, this.state.isUnfit)
+    this.exchange.respond(head.status, this.codec.filterResponseHeaders(head), body, this.state.shouldCloseConnections)
   }
 
   startResponse (head: ResponseHead): void {
     this.status = head.status
-    this.exchange.startResponse(head.status, this.codec.filterResponseHeaders(head), this.state.isUnfit)
+    this.exchange.startResponse(head.status, this.codec.filterResponseHeaders(head), this.state.shouldCloseConnections)
   }
 
   write (bytes: Buffer): void {
@@ -194,6 +194,6 @@
         retryAfterMs: refused.retryAfterMs
       }
     })
-    this.exchange.respond(refused.status, headers, Buffer.from(body), this.state.isUnfit || call === null)
+    this.exchange.respond(refused.status, headers, Buffer.from(body), this.state.shouldCloseConnections || call === null)
   }
 }
--- a/process/entry/test/garbled.test.ts
+++ b/process/entry/test/garbled.test.ts
@@ -2,7 +2,7 @@
 import { createServer } from 'node:net'
 import type { AddressInfo, Server, Socket } from 'node:net'
 import { afterEach, expect, test } from 'vitest'
-import { pause } from '#process/clock'
+import { sleep } from '#process/clock'
 import { EntryHarness } from './harness.js'
 
 /// What an instance writes to a request: given its call id, its number and its connection.
@@ -72,7 +72,7 @@
     if (number === 0) setTimeout(() => socket.write(answerTo(id, 'late')), 20)
   })
   await entry.call('/charge/1')
-  await pause(40)
+  await sleep(40)
   expect((await entry.call('/charge/1')).body).toBe('own 1')
 })
 
@@ -84,7 +84,7 @@
   })
   const early = await entry.call('/charge/1', {}, 'POST', longBody)
   const next = await entry.call('/charge/1', { 'attempt-id': randomBytes(8).toString('hex') }, 'POST', 'next')
-  await pause(120)
+  await sleep(120)
   expect([early.status, next.body]).toEqual([200, 'own 1'])
   const first = Buffer.concat(received[0]!).toString('latin1')
   const body = first.slice(first.indexOf('\r\n\r\n') + 4, first.indexOf('\r\n\r\n') + 4 + longBody.length)
--- a/process/entry/test/harness.ts
+++ b/process/entry/test/harness.ts
@@ -9,10 +9,10 @@
 import { serveExchange } from '#process/entry'
 import { InstanceRegistry } from '#process/instances'
 import { mergeAccountEntries } from '#process/ledger'
-import { silentLog } from '#process/log'
+import { noopLog } from '#process/log'
 import { Metrics } from '#process/metrics'
 import { Placement } from '#process/placement'
-import { platformHeaders, readConfiguration, readInstance } from '#platform'
+import { platformHeaders, parseConfiguration, parseInstance } from '#platform'
 import { configuration } from '#standin/system'
 
 /// A ledger in memory that can be told to fail.
@@ -83,26 +83,26 @@
 
   constructor (instances: readonly Listed[]) {
     this.registry = new InstanceRegistry({
-      parseInstance: readInstance,
+      parseInstance: parseInstance,
       connect: at => new InstanceClient(at.address, 8),
       onChange: () => {}
-    }, silentLog)
+    }, noopLog)
     const objects = instances.map(({ id, address }) => {
       const spec = { service: id.split('-')[0], address, zone: 'z', slots: 8, state: 'ready' }
       return { name: id, revision: 1, spec, status: null }
     })
     this.registry.onListing({ objects, revision: 1 }, false)
-    const routes = new RouteTable(readConfiguration({ name: 'main', revision: 1, spec: configuration(1), status: null }))
+    const routes = new RouteTable(parseConfiguration({ name: 'main', revision: 1, spec: configuration(1), status: null }))
     const context = {
       codec: platformHeaders,
-      placement: new Placement(this.registry, 'z', silentLog),
+      placement: new Placement(this.registry, 'z', noopLog),
       ledger: this.ledger,
       cache: new ChainCache(1000),
-      log: silentLog,
+      log: noopLog,
       metrics: new Metrics()
     }
     this.front = new FrontServer({
-      serve: exchange => serveExchange(exchange, { routes, isUnfit: false }, context),
+      serve: exchange => serveExchange(exchange, { routes, shouldCloseConnections: false }, context),
       onMalformed: () => {}
     })
   }
--- a/process/instances/test/registry.test.ts
+++ b/process/instances/test/registry.test.ts
@@ -2,8 +2,8 @@
 import type { StoredObject } from '#connection/store'
 import { InstanceClient } from '#connection/upstream'
 import { InstanceRegistry } from '#process/instances'
-import { silentLog } from '#process/log'
-import { readInstance } from '#platform'
+import { noopLog } from '#process/log'
+import { parseInstance } from '#platform'
 
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
@@ -15,10 +15,10 @@
 
 function registry (): InstanceRegistry {
   return new InstanceRegistry({
-    parseInstance: readInstance,
+    parseInstance: parseInstance,
     connect: ({ address }) => new InstanceClient(address, 4),
     onChange: () => {}
-  }, silentLog)
+  }, noopLog)
 }
 
 function ids (instances: InstanceRegistry): string[] {
--- a/process/ledger/src/disk.ts
+++ b/process/ledger/src/disk.ts
@@ -5,7 +5,7 @@
 import { join } from 'node:path'
 import { crc32 } from 'node:zlib'
 import { LedgerRecord } from '#connection/rpc'
-import { Events, messageOf } from '#process/log'
+import { Events, formatError } from '#process/log'
 import type { EventLog } from '#process/log'
 
 /// What a disk held when it was opened.
@@ -89,7 +89,7 @@
     try {
       batch.resolve(this.write(batch.frames))
     } catch (error) {
-      this.log.event(Events.diskFailed, { error: messageOf(error) })
+      this.log.event(Events.diskFailed, { error: formatError(error) })
       batch.reject(error as Error)
     }
   }
--- a/process/ledger/test/disk.test.ts
+++ b/process/ledger/test/disk.test.ts
@@ -4,7 +4,7 @@
 import { afterEach, beforeEach, expect, test } from 'vitest'
 import type { LedgerRecord } from '#connection/rpc'
 import { Disk, Ledger, RecordKind, RecordIndex, encodeFrame, decodeFrames } from '#process/ledger'
-import { silentLog } from '#process/log'
+import { noopLog } from '#process/log'
 
 let folder = ''
 
@@ -16,7 +16,7 @@
 }
 
 function reopen (): Ledger {
-  const { disk, contents } = Disk.open(folder, silentLog)
+  const { disk, contents } = Disk.open(folder, noopLog)
   return new Ledger(disk, contents)
 }
 
@@ -51,7 +51,7 @@
 test('a wiped folder is another disk, and says so', async () => {
   const { diskId } = reopen()
   rmSync(folder, { recursive: true })
-  const { disk, contents } = Disk.open(folder, silentLog)
+  const { disk, contents } = Disk.open(folder, noopLog)
   expect(disk.diskId).not.toBe(diskId)
   expect(contents.wasEmpty).toBe(true)
 })
--- a/process/log/src/index.ts
+++ b/process/log/src/index.ts
@@ -1,4 +1,4 @@
 export { Events } from './catalogue.js'
 export type { EventKind } from './catalogue.js'
-export { ProcessLog, messageOf, reasonIn, silentLog } from './log.js'
+export { ProcessLog, formatError, errorMessage, noopLog } from './log.js'
 export type { EventFields, EventLog } from './log.js'
--- a/process/log/src/log.ts
+++ b/process/log/src/log.ts
@@ -15,7 +15,7 @@
 }
 
 /// An event log that keeps nothing, for tests.
-export const silentLog: EventLog = { event: () => {} }
+export const noopLog: EventLog = { event: () => {} }
 
 interface Budget {
   lines: number
@@ -52,7 +52,7 @@
     const nowMs = performance.now()
     if (nowMs >= this.windowEndMs) this.startWindow(nowMs)
     const budget = this.budgetOf(kind)
-    if (budget.lines >= kind.linesPerS) {
+    if (budget.lines >= kind.maxLinesPerSecond) {
       budget.dropped++
       return
     }
@@ -90,11 +90,11 @@
 }
 
 /// The message of anything thrown, with the kind of error, for a log line.
-export function messageOf (error: unknown): string {
+export function formatError (error: unknown): string {
   return error instanceof Error ? `${error.name}: ${error.message}` : String(error)
 }
 
 /// The message alone, where a reason or an error of another kind takes it up.
-export function reasonIn (error: unknown): string {
+export function errorMessage (error: unknown): string {
   return error instanceof Error ? error.message : String(error)
 }
--- a/process/metrics/src/metrics.ts
+++ b/process/metrics/src/metrics.ts
@@ -16,11 +16,11 @@
   private readonly gauges = new Map<string, () => number>()
   private readonly histograms = new Map<string, Histogram>()
 
-  count (name: string, by = 1): void {
+  increment (name: string, by = 1): void {
     this.counters.set(name, (this.counters.get(name) ?? 0) + by)
   }
 
-  gauge (name: string, read: () => number): void {
+  addGauge (name: string, read: () => number): void {
     this.gauges.set(name, read)
   }
 
--- a/process/placement/test/placement.test.ts
+++ b/process/placement/test/placement.test.ts
@@ -2,10 +2,10 @@
 import { InstanceClient } from '#connection/upstream'
 import { InstanceRegistry, estimateRunning, recordFailure, recordLoad } from '#process/instances'
 import type { Instance } from '#process/instances'
-import { silentLog } from '#process/log'
+import { noopLog } from '#process/log'
 import { Placement, chooseInstance } from '#process/placement'
 import type { InstanceLease, PlacementRequest } from '#process/placement'
-import { readInstance } from '#platform'
+import { parseInstance } from '#platform'
 import { plainCall } from '#standin/call'
 
 let registry: InstanceRegistry
@@ -14,13 +14,13 @@
 beforeEach(() => {
   vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'performance'] })
   const connect = ({ address }: { address: string }): InstanceClient => new InstanceClient(address, 4)
-  registry = new InstanceRegistry({ parseInstance: readInstance, connect, onChange: () => {} }, silentLog)
+  registry = new InstanceRegistry({ parseInstance: parseInstance, connect, onChange: () => {} }, noopLog)
   const objects = ['a', 'b'].map((name, i) => {
     const spec = { service: 's', address: `10.0.0.${i + 1}:80`, zone: `z${i}`, slots: 1, state: 'ready' }
     return { name, revision: 1, spec, status: null }
   })
   registry.onListing({ objects, revision: 1 }, false)
-  placement = new Placement(registry, 'z0', silentLog)
+  placement = new Placement(registry, 'z0', noopLog)
 })
 
 afterEach(() => { vi.useRealTimers() })
--- a/process/quorum/src/quorum.ts
+++ b/process/quorum/src/quorum.ts
@@ -1,8 +1,8 @@
 import { PeerError } from '#connection/rpc'
 import type { AccountEntry, AppendReply, LedgerPeer, LedgerRecord, Member, Standing, View } from '#connection/rpc'
-import { pause } from '#process/clock'
+import { sleep } from '#process/clock'
 import { mergeAccountEntries } from '#process/ledger'
-import { Events, messageOf } from '#process/log'
+import { Events, formatError } from '#process/log'
 import type { EventLog } from '#process/log'
 import { emptyView, computeQuorums } from '#process/membership'
 import type { Quorums } from '#process/membership'
@@ -119,7 +119,7 @@
     }
     const isDone = (): boolean => chain !== null || countIn(absent, this.rule.knowers) >= this.rule.absences
     const nearest = ask(ordered[0]!)
-    await Promise.race([nearest, pause(hedgeAfterMs)])
+    await Promise.race([nearest, sleep(hedgeAfterMs)])
     if (!isDone()) await this.askAll(state => state === ordered[0] ? nearest : ask(state), isDone, deadlineMs)
     if (chain !== null) return chain
     if (countIn(absent, this.rule.knowers) >= this.rule.absences) return null
@@ -198,7 +198,7 @@
       } catch (error) {
         this.noteFailure(state, error)
       }
-      await pause(retryPauseMs)
+      await sleep(retryPauseMs)
     }
   }
 
@@ -214,7 +214,7 @@
 
   private noteFailure (state: PeerState, error: unknown): void {
     if (error instanceof PeerError && !error.isSilent) return
-    if (!state.isDown) this.log.event(Events.memberLost, { member: state.member.name, error: messageOf(error) })
+    if (!state.isDown) this.log.event(Events.memberLost, { member: state.member.name, error: formatError(error) })
     state.isDown = true
     this.options.onStaleView()
     this.startProbing()
--- a/process/quorum/test/quorum.test.ts
+++ b/process/quorum/test/quorum.test.ts
@@ -5,7 +5,7 @@
 import { LedgerConnection, LedgerServer } from '#connection/rpc'
 import type { LedgerRecord, View } from '#connection/rpc'
 import { Disk, Ledger, RecordKind } from '#process/ledger'
-import { silentLog } from '#process/log'
+import { noopLog } from '#process/log'
 import { LedgerQuorum } from '#process/quorum'
 
 const folders: string[] = []
@@ -18,14 +18,14 @@
   for (const name of ['a', 'b', 'c']) {
     const folder = await mkdtemp(join(tmpdir(), 'ledger-'))
     folders.push(folder)
-    const { disk, contents } = Disk.open(folder, silentLog)
+    const { disk, contents } = Disk.open(folder, noopLog)
     const server = new LedgerServer(new Ledger(disk, contents))
     servers.push(server)
     const address = `127.0.0.1:${await server.listen('127.0.0.1:0')}`
     members.push({ name, diskId: disk.diskId, address, zone: name, state: 'serving', replacement: false, syncedView: 0 })
   }
   view = { version: 3, members, leaveVersion: 0 }
-  quorum = new LedgerQuorum({ zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => {} }, silentLog)
+  quorum = new LedgerQuorum({ zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => {} }, noopLog)
   quorum.adoptView(view, 'test')
 })
 
@@ -72,7 +72,7 @@
   for (const name of ['a', 'b', 'c']) {
     const folder = await mkdtemp(join(tmpdir(), 'ledger-'))
     folders.push(folder)
-    const { disk, contents } = Disk.open(folder, silentLog)
+    const { disk, contents } = Disk.open(folder, noopLog)
     const ledger = new Ledger(disk, contents)
     ledgers.push(ledger)
     const server = new LedgerServer(ledger)
@@ -81,7 +81,7 @@
     members.push({ name, diskId: disk.diskId, address, zone: name, state: 'serving', replacement: false, syncedView: 0 })
   }
   for (const ledger of ledgers) ledger.adoptView({ version: 9, members, leaveVersion: 0 })
-  const stale = new LedgerQuorum({ zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => {} }, silentLog)
+  const stale = new LedgerQuorum({ zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => {} }, noopLog)
   stale.adoptView({ version: 8, members: members.slice(0, 1), leaveVersion: 0 }, 'test')
   await stale.append([record(RecordKind.turn, 't1')], 900)
   expect(ledgers.filter(ledger => ledger.records.count === 1).length).toBeGreaterThan(1)
@@ -92,7 +92,7 @@
   let asked = 0
   const stale = new LedgerQuorum({
     zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => { asked++ }
-  }, silentLog)
+  }, noopLog)
   stale.adoptView({ ...view, members: view.members.slice(0, 1) }, 'test')
   expect(stale.isAvailable).toBe(false)
   await new Promise(resolve => setTimeout(resolve, 500))
--- a/process/storage/src/membership.ts
+++ b/process/storage/src/membership.ts
@@ -2,7 +2,7 @@
 import { ObjectKind, StoreConflictError, watchObjects, watchObject } from '#connection/store'
 import type { ObjectStore, StoredObject } from '#connection/store'
 import type { Ledger } from '#process/ledger'
-import { Events, messageOf } from '#process/log'
+import { Events, formatError } from '#process/log'
 import type { EventLog } from '#process/log'
 import { MemberState, canLeave, requiredCopySources, emptyView, canEvict, parseView, viewObjectName, withServing, withLeaving, withMember, withSynced } from '#process/membership'
 import { PeerCopier } from './copier.js'
@@ -96,7 +96,7 @@
       try {
         this.adopt(parseView(object.spec), object.revision)
       } catch (error) {
-        this.log.event(Events.viewRejected, { revision: object.revision, error: messageOf(error) })
+        this.log.event(Events.viewRejected, { revision: object.revision, error: formatError(error) })
       }
     }
     this.tick()
@@ -229,7 +229,7 @@
   /// A write without an answer may still be done; the watch then shows it.
   private noteWriteFailure (error: unknown): void {
     this.nextWriteMs = performance.now() + writeRetryMs
-    this.log.event(Events.storeWriteFailed, { kind: ObjectKind.storageViews, error: messageOf(error) })
+    this.log.event(Events.storeWriteFailed, { kind: ObjectKind.storageViews, error: formatError(error) })
   }
 
   private async readAgain (): Promise<void> {
@@ -248,7 +248,7 @@
       this.log.event(Events.retirement, { name, state, viewVersion: this.view.version })
       this.store.updateStatus(ObjectKind.retirements, name, { state }).catch((error: unknown) => {
         this.retirements.set(name, { status })
-        this.log.event(Events.storeWriteFailed, { kind: ObjectKind.retirements, name, error: messageOf(error) })
+        this.log.event(Events.storeWriteFailed, { kind: ObjectKind.retirements, name, error: formatError(error) })
       })
     }
   }
@@ -274,7 +274,7 @@
         })
       }
     }, (error: unknown) => {
-      this.log.event(Events.copyFailed, { from: state.member.name, error: messageOf(error) })
+      this.log.event(Events.copyFailed, { from: state.member.name, error: formatError(error) })
       this.noteSilence(state)
     }).finally(() => {
       state.isCopying = false
--- a/process/storage/test/budget.test.ts
+++ b/process/storage/test/budget.test.ts
@@ -4,7 +4,7 @@
 import { TokenReservation } from '#request/turn'
 import { RouteKind } from '#version/configuration'
 import type { Route } from '#version/configuration'
-import { silentLog } from '#process/log'
+import { noopLog } from '#process/log'
 import { plainCall } from '#standin/call'
 import { Cluster, faults, pauseClock } from './cluster.js'
 import type { Fault } from './cluster.js'
@@ -47,7 +47,7 @@
 
 /// Whether a turn through an entry may run.
 function opens (entry: number, tokenBudget: number): Promise<TokenReservation | null> {
-  return TokenReservation.acquire(callOf(tokenBudget), route, mostTokens, cluster.entries[entry]!, silentLog).catch(() => null)
+  return TokenReservation.acquire(callOf(tokenBudget), route, mostTokens, cluster.entries[entry]!, noopLog).catch(() => null)
 }
 
 // Each of three turns at once may see just one of the others: their reservations reach the
--- a/process/storage/test/cluster.ts
+++ b/process/storage/test/cluster.ts
@@ -6,9 +6,9 @@
 import type { LedgerPeer, LedgerRecord, View } from '#connection/rpc'
 import { HistoryGoneError, ObjectKind, StoreConflictError, StoreUnavailableError } from '#connection/store'
 import type { ObjectStore, StoreChange, StoredObject } from '#connection/store'
-import { pause } from '#process/clock'
+import { sleep } from '#process/clock'
 import { Disk, Ledger, RecordKind } from '#process/ledger'
-import { silentLog } from '#process/log'
+import { noopLog } from '#process/log'
 import { MemberState, parseView } from '#process/membership'
 import { LedgerQuorum } from '#process/quorum'
 import { MembershipController } from '#process/storage'
@@ -40,7 +40,7 @@
     waitMs: number
   ): Promise<{ changes: StoreChange[], revision: number }> {
     for (let waited = 0; waited < waitMs; waited += watchPollMs) {
-      await pause(watchPollMs)
+      await sleep(watchPollMs)
       if (this.isAway) throw new HistoryGoneError('the watch was cut')
       const objects = [...this.objects].filter(([key, object]) => key.startsWith(`${kind}/`) && object.revision > revision)
       const changes = objects.map(([, object]) => ({ name: object.name, object }))
@@ -79,7 +79,7 @@
   }
 
   private async call (): Promise<void> {
-    await pause(defaultLatencyMs)
+    await sleep(defaultLatencyMs)
     if (this.isAway) throw new StoreUnavailableError('away', false)
   }
 }
@@ -112,7 +112,7 @@
       toleratedLosses,
       connect: address => this.peer(`entry${i}`, address),
       onStaleView: () => this.readView().catch(() => {})
-    }, silentLog))
+    }, noopLog))
   }
 
   get quorum (): LedgerQuorum {
@@ -251,7 +251,7 @@
   }
 
   private boot (node: Node, isFirst: boolean): void {
-    const { disk, contents } = Disk.open(node.folder, silentLog)
+    const { disk, contents } = Disk.open(node.folder, noopLog)
     const ledger = node.ledger = new Ledger(disk, contents)
     node.membership = new MembershipController({
       name: node.name,
@@ -260,19 +260,19 @@
       toleratedLosses,
       isFirstStart: isFirst && contents.wasEmpty,
       connect: address => this.peer(node.name, address)
-    }, this.store, ledger, silentLog)
+    }, this.store, ledger, noopLog)
     node.membership.start()
   }
 
   private peer (from: string, address: string): LedgerPeer {
     const reach = async <Reply> (ask: (ledger: Ledger) => Promise<Reply>): Promise<Reply> => {
-      await pause(this.latencyMs(from, address))
+      await sleep(this.latencyMs(from, address))
       const node = this.nodes.find(other => other.address === address)
       if (node?.ledger == null || this.cuts.has(`${from}|${node.name}`) || this.cuts.has(`${node.name}|${from}`)) {
         throw new PeerError(`${address} is out of reach`)
       }
       const reply = await ask(node.ledger)
-      await pause(this.latencyMs(from, address))
+      await sleep(this.latencyMs(from, address))
       if (node.ledger === null) throw new PeerError(`${address} died`)
       return reply
     }
--- a/request/forward/src/attempt.ts
+++ b/request/forward/src/attempt.ts
@@ -3,7 +3,7 @@
 import type { ResponseHandler, InFlightRequest } from '#connection/upstream'
 import type { Call } from '#request/call'
 import { recordFailure, recordLoad, recordSuccess } from '#process/instances'
-import { Events, reasonIn } from '#process/log'
+import { Events, errorMessage } from '#process/log'
 import type { EventLog } from '#process/log'
 import type { Instance } from '#process/instances'
 
@@ -72,7 +72,7 @@
     try {
       this.sending = instance.client.send({ method: call.method, path: call.path, headers, body }, this)
     } catch (error) {
-      this.onError(new UpstreamError(reasonIn(error), false))
+      this.onError(new UpstreamError(errorMessage(error), false))
     }
   }
 
@@ -91,7 +91,7 @@
     try {
       listener!.onHead(head)
     } catch (error) {
-      this.breakOff(reasonIn(error))
+      this.breakOff(errorMessage(error))
     }
   }
 
@@ -105,7 +105,7 @@
     try {
       this.request.listener!.onData(chunk)
     } catch (error) {
-      this.breakOff(reasonIn(error))
+      this.breakOff(errorMessage(error))
     }
   }
 
--- a/request/forward/src/stream.ts
+++ b/request/forward/src/stream.ts
@@ -3,7 +3,7 @@
 import { Refusal, RefusedError, Verdict } from '#request/call'
 import { EventStreamParser, TokenReservation, buildPrompt, readHistory, createTurnRecord } from '#request/turn'
 import type { StreamEvent } from '#request/turn'
-import { Events, messageOf } from '#process/log'
+import { Events, formatError } from '#process/log'
 import { recordCachedParts } from '#process/instances'
 import type { InstanceLease } from '#process/placement'
 import type { AttemptResult, StreamListener } from './attempt.js'
@@ -107,7 +107,7 @@
         return false
       }
       if (!this.tries.mayGoOn(result, routed.route.resumable)) throw this.tries.refusal(this.verdict, result)
-      context.metrics.count('retries_total')
+      context.metrics.increment('retries_total')
       context.log.event(this.events > 0 ? Events.streamResumed : Events.callRetried, {
         callId: routed.call.id,
         instanceId: id,
@@ -130,7 +130,7 @@
     try {
       await context.ledger.append([record], timeoutMs)
     } catch (error) {
-      throw new RefusedError(Refusal.notPersisted, Verdict.ran, messageOf(error))
+      throw new RefusedError(Refusal.notPersisted, Verdict.ran, formatError(error))
     }
     context.metrics.observeMs('keep', performance.now() - startedAtMs)
     context.cache.add(record)
@@ -183,7 +183,7 @@
       const { maxWaitMs } = this
       return await this.tries.findPlace({ previousInstanceId, isContinuing: !this.isBeginning, maxWaitMs })
     } catch (error) {
-      if (this.tries.mayHaveRun) throw this.broken(messageOf(error))
+      if (this.tries.mayHaveRun) throw this.broken(formatError(error))
       throw error
     }
   }
--- a/request/forward/src/unary.ts
+++ b/request/forward/src/unary.ts
@@ -29,7 +29,7 @@
       if (!hasAlternative || result.head.status < 500) break
     }
     if (!tries.mayGoOn(result, isIdempotent)) break
-    context.metrics.count('retries_total')
+    context.metrics.increment('retries_total')
     context.log.event(Events.callRetried, {
       callId: call.id,
       instanceId: place.instance.description.id,
--- a/request/turn/src/history.ts
+++ b/request/turn/src/history.ts
@@ -3,7 +3,7 @@
 import { Refusal, RefusedError, Verdict } from '#request/call'
 import type { Call } from '#request/call'
 import type { Route } from '#version/configuration'
-import { messageOf } from '#process/log'
+import { formatError } from '#process/log'
 import type { ChainCache } from './chaincache.js'
 import { createRecord } from './ledger.js'
 import type { TurnLedger } from './ledger.js'
@@ -31,7 +31,7 @@
   try {
     chain = await ledger.findChain(turnId, findTimeoutMs)
   } catch (error) {
-    throw new RefusedError(Refusal.ledgerUnavailable, Verdict.notRun, messageOf(error), ledgerRetryMs)
+    throw new RefusedError(Refusal.ledgerUnavailable, Verdict.notRun, formatError(error), ledgerRetryMs)
   }
   if (chain === null) throw new RefusedError(Refusal.unknownTurn, Verdict.notRun, `no turn ${turnId} is kept`)
   return chain
--- a/request/turn/src/tokenreservation.ts
+++ b/request/turn/src/tokenreservation.ts
@@ -3,8 +3,8 @@
 import { Refusal, RefusedError, Verdict } from '#request/call'
 import type { Call } from '#request/call'
 import type { Route } from '#version/configuration'
-import { pause } from '#process/clock'
-import { Events, messageOf } from '#process/log'
+import { sleep } from '#process/clock'
+import { Events, formatError } from '#process/log'
 import type { EventLog } from '#process/log'
 import { createRecord } from './ledger.js'
 import type { TurnLedger } from './ledger.js'
@@ -72,7 +72,7 @@
         callId: this.callId,
         programId: this.programId,
         tokens,
-        error: messageOf(error)
+        error: formatError(error)
       })
     })
   }
@@ -101,7 +101,7 @@
       const others = countTokens(entries, this.callId)
       const before = countTokens(entries.filter(entry => entry.settled || entry.id < this.callId), this.callId)
       if (others < budget || before >= budget || reads === maxReads) return others
-      await pause(rereadPauseMs)
+      await sleep(rereadPauseMs)
     }
   }
 
@@ -114,7 +114,7 @@
       return await entries
     } catch (error) {
       this.settle(0)
-      throw new RefusedError(Refusal.ledgerUnavailable, Verdict.notRun, messageOf(error), ledgerRetryMs)
+      throw new RefusedError(Refusal.ledgerUnavailable, Verdict.notRun, formatError(error), ledgerRetryMs)
     }
   }
 
@@ -127,7 +127,7 @@
       } catch (error) {
         if (tries >= settleTries) throw error
       }
-      await pause(settleRetryPauseMs)
+      await sleep(settleRetryPauseMs)
     }
   }
 }
--- a/standin/system/src/system.ts
+++ b/standin/system/src/system.ts
@@ -3,7 +3,7 @@
 import { mkdir, mkdtemp, rm, writeFile } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
-import { pause } from '#process/clock'
+import { sleep } from '#process/clock'
 import { StandinStore } from '#standin/store'
 import { StandinUpstream } from '#standin/upstream'
 import { freePorts } from './ports.js'
@@ -91,12 +91,12 @@
     for (const { readiness, name, lines } of this.entries) {
       while (!await isReady(readiness)) {
         if (performance.now() > endsAtMs) throw new Error(`${name} did not become ready:\n${lines.join('\n')}`)
-        await pause(50)
+        await sleep(50)
       }
     }
     while (this.membersServing() < this.options.storages) {
       if (performance.now() > endsAtMs) throw new Error('the storage instances did not join')
-      await pause(50)
+      await sleep(50)
     }
   }
 
--- a/standin/upstream/src/upstream.ts
+++ b/standin/upstream/src/upstream.ts
@@ -1,7 +1,7 @@
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo, Socket } from 'node:net'
-import { pause } from '#process/clock'
+import { sleep } from '#process/clock'
 
 /// What an instance does to the requests that it gets.
 export const UpstreamFault = {
@@ -109,7 +109,7 @@
   }
 
   private async answer (response: ServerResponse, head: Record<string, string>, ran: RanRequest): Promise<void> {
-    await pause(this.options.firstMs)
+    await sleep(this.options.firstMs)
     const body = `done ${ran.path} ${ran.body}`
     if (this.fault === UpstreamFault.unframed) {
       response.removeHeader('transfer-encoding')
@@ -133,7 +133,7 @@
     string>,
     ran: RanRequest
   ): Promise<void> {
-    await pause(this.options.firstMs)
+    await sleep(this.options.firstMs)
     const from = Number(ran.headers['last-event-id'] ?? 0) + 1
     response.writeHead(200, { ...head, 'content-type': 'text/event-stream' })
     for (let id = from; id <= this.options.events; id++) {
@@ -144,7 +144,7 @@
         return
       }
       response.write(event)
-      await pause(this.options.eventMs)
+      await sleep(this.options.eventMs)
     }
     response.end()
   }
--- a/version/configuration/src/configuration.ts
+++ b/version/configuration/src/configuration.ts
@@ -51,7 +51,7 @@
 /// The traits of a service's model engines.
 export interface Engine {
   readonly slots: number
-  readonly memoryTokens: number
+  readonly kvCapacityTokens: number
   /// Tokens in one event of a stream.
   readonly tokensPerEvent: number
 }
