--- a/demo/src/main.ts
+++ b/demo/src/main.ts
@@ -1,7 +1,7 @@
 import { StandinSystem } from '#standin/system'
 import { runProgram } from './program.js'
-import type { ProgramSeen } from './program.js'
-import { runOn } from './run.js'
+import type { ProgramResult } from './program.js'
+import { runAndExit } from './run.js'
 
 const programs = Number(process.env.DEMO_PROGRAMS ?? 12)
 const turns = 4
@@ -18,7 +18,7 @@
 })
 
 /// Draws a program's calls on a line each.
-function draw ({ programId, calls }: ProgramSeen): string {
+function draw ({ programId, calls }: ProgramResult): string {
   const endMs = Math.max(...calls.map(call => call.endMs))
   const lines = [...calls].sort((a, b) => a.startMs - b.startMs).map(call => {
     const from = Math.floor(call.startMs / endMs * barWidth)
@@ -38,10 +38,10 @@
   ))
   const calls = seen.flatMap(program => program.calls)
   const failed = calls.filter(call => call.status !== 200)
-  const ran = [...system.engines, ...system.services].flatMap(upstream => upstream.ran)
+  const ran = [...system.engines, ...system.services].flatMap(upstream => upstream.executedRequests)
   const repeated = ran.length - new Set(ran.map(request => request.callId)).size
   process.stdout.write(`${draw(seen[0]!)}\n\n${programs} programs, ${calls.length} calls, ${failed.length} failed, ${repeated} run twice\n`)
   return failed.length === 0 && repeated === 0 ? 0 : 1
 }
 
-runOn(system, main)
+runAndExit(system, main)
--- a/demo/src/program.ts
+++ b/demo/src/program.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici'
 
 /// What a demo caller saw of one call.
-export interface CallSeen {
+export interface CallResult {
   readonly callId: string
   readonly what: string
   readonly startMs: number
@@ -13,9 +13,9 @@
 }
 
 /// One program: turns in order, tool calls between them, a sub-agent.
-export interface ProgramSeen {
+export interface ProgramResult {
   readonly programId: string
-  readonly calls: readonly CallSeen[]
+  readonly calls: readonly CallResult[]
 }
 
 const host = 'demo.example'
@@ -26,13 +26,13 @@
 
 /// Runs one program through an entry: a kept conversation of some turns, each
 /// followed by tool calls, with a sub-agent after the second.
-export async function runProgram (entryAddress: string, turns: number, tokenBudget: number): Promise<ProgramSeen> {
+export async function runProgram (entryAddress: string, turns: number, tokenBudget: number): Promise<ProgramResult> {
   const programId = randomBytes(6).toString('hex')
-  const calls: CallSeen[] = []
+  const calls: CallResult[] = []
   const startedAtMs = performance.now()
   const call = async (
     what: string, method: string, path: string, headers: Record<string, string>, body?: string
-  ): Promise<CallSeen> => {
+  ): Promise<CallResult> => {
     const callId = randomBytes(8).toString('hex')
     const startMs = performance.now() - startedAtMs
     const named = { host, 'attempt-id': callId, 'program-id': programId, 'program-deadline-ms': String(programRemainingMs) }
@@ -41,7 +41,7 @@
     calls.push(seen)
     return seen
   }
-  const turn = (session: string, previous: string | null, number: number): Promise<CallSeen> => {
+  const turn = (session: string, previous: string | null, number: number): Promise<CallResult> => {
     const headers = {
       'session-id': session,
       'deadline-ms': String(turnPatienceMs),
@@ -51,7 +51,7 @@
     }
     return call(`turn ${number} of ${session}`, 'POST', `/chat/${number}`, headers, `input ${number} of ${session}; `)
   }
-  const tool = (name: string, method: string): Promise<CallSeen> => {
+  const tool = (name: string, method: string): Promise<CallResult> => {
     const headers = { 'deadline-ms': String(toolPatienceMs) }
     return call(`tool ${name}`, method, `/${name}/x`, headers, method === 'GET' ? undefined : 'order')
   }
--- a/demo/src/run.ts
+++ b/demo/src/run.ts
@@ -1,7 +1,7 @@
 import type { StandinSystem } from '#standin/system'
 
 /// Runs a whole demo, stops its processes however it ends, and exits with its code.
-export function runOn (system: StandinSystem, main: () => Promise<number>): void {
+export function runAndExit (system: StandinSystem, main: () => Promise<number>): void {
   main().catch((error: unknown) => {
     process.stderr.write(`${String(error)}\n`)
     return 1
--- a/demo/src/soak.ts
+++ b/demo/src/soak.ts
@@ -3,8 +3,8 @@
 import type { SystemNode } from '#standin/system'
 import { StoreFault } from '#standin/store'
 import { continueTurn, runProgram } from './program.js'
-import type { CallSeen } from './program.js'
-import { runOn } from './run.js'
+import type { CallResult } from './program.js'
+import { runAndExit } from './run.js'
 
 /// Plays programs against real processes while these are killed, lose their
 /// disks and their store, and checks what must hold in the end.
@@ -41,7 +41,7 @@
 
 async function main (): Promise<number> {
   await system.start()
-  const seen: CallSeen[] = []
+  const seen: CallResult[] = []
   const progress = { isOver: false }
   const players = Array.from({ length: programsAtOnce }, async (_, player) => {
     for (let i = player; !progress.isOver; i++) {
@@ -58,7 +58,7 @@
   await Promise.all(players)
   const kept = seen.filter(call => call.what.startsWith('turn') && call.status === 200)
   const lost = await countLost(kept)
-  const charges = system.services.flatMap(service => service.ran).filter(request => request.path.startsWith('/charge/'))
+  const charges = system.services.flatMap(service => service.executedRequests).filter(request => request.path.startsWith('/charge/'))
   const repeated = charges.length - new Set(charges.map(request => request.callId)).size
   const answered = new Map(seen.map(call => [call.callId, call.status]))
   const falselyRefused = charges.filter(({ callId }) => [429, 503].includes(answered.get(callId) ?? 0)).length
@@ -69,7 +69,7 @@
 }
 
 /// How many turns that are still owed can't be continued.
-async function countLost (kept: readonly CallSeen[]): Promise<number> {
+async function countLost (kept: readonly CallResult[]): Promise<number> {
   let lost = 0
   let checked = 0
   for (const [i, turn] of kept.entries()) {
@@ -81,4 +81,4 @@
   return lost
 }
 
-runOn(system, main)
+runAndExit(system, main)
--- a/emulator/policy/src/compare.ts
+++ b/emulator/policy/src/compare.ts
@@ -1,7 +1,7 @@
 import { install } from '@sinonjs/fake-timers'
 import { Emulation } from './emulation.js'
-import type { EmulationResult, MakePolicy } from './emulation.js'
-import type { EngineTraits } from './engine.js'
+import type { EmulationResult, PolicyFactory } from './emulation.js'
+import type { EngineProfile } from './engine.js'
 import { policies } from './policies.js'
 import { makeTrace } from './trace.js'
 import type { TracedProgram } from './trace.js'
@@ -19,7 +19,7 @@
   'half the engines': { engines: 3, programsPerS: 24 }
 }
 
-const traits: EngineTraits = {
+const traits: EngineProfile = {
   slots: 32,
   stepMs: 1.21,
   stepMsPerCall: 0.0181,
@@ -32,15 +32,15 @@
 const settleMs = 60_000
 
 /// Plays one scenario with one policy on a virtual clock: the same seed gives the same result.
-export async function playScenario (
+export async function runScenario (
   scenario: Scenario,
-  makePolicy: MakePolicy,
+  makePolicy: PolicyFactory,
   seed: number
 ): Promise<EmulationResult> {
   const trace = makeTrace({ seed, forMs, programsPerS: scenario.programsPerS, entries })
   const engines = Array.from({ length: scenario.engines }, () => traits)
   return await onVirtualClock(trace, () => {
-    return new Emulation({ engines, entries, trace, makePolicy }).play()
+    return new Emulation({ engines, entries, trace, makePolicy }).run()
   })
 }
 
@@ -63,7 +63,7 @@
   const lines = [`seed ${seed}`.padEnd(40) + 'in aim   late failed  worth']
   for (const [scenarioName, scenario] of Object.entries(scenarios)) {
     for (const [policyName, makePolicy] of Object.entries(policies)) {
-      const { inAim, late, failed, worth } = await playScenario(scenario, makePolicy, seed)
+      const { inAim, late, failed, weightedGoodput: worth } = await runScenario(scenario, makePolicy, seed)
       const counts = [inAim, late, failed].map(count => String(count).padStart(6)).join(' ')
       lines.push(`${scenarioName.padEnd(18)}${policyName.padEnd(22)}${counts}  ${worth.toFixed(3)}`)
     }
--- a/emulator/policy/src/emulation.ts
+++ b/emulator/policy/src/emulation.ts
@@ -4,9 +4,9 @@
 import type { Instance } from '#process/instances'
 import { noopLog } from '#process/log'
 import type { InstanceLease, PlacementRequest } from '#process/placement'
-import { plainCall } from '#standin/call'
+import { createCall } from '#standin/call'
 import { EmulatedEngine } from './engine.js'
-import type { EngineTraits } from './engine.js'
+import type { EngineProfile } from './engine.js'
 import type { TracedProgram, TracedTurn } from './trace.js'
 
 /// Gives a call its place, or refuses it. `Placement` is one; so are the baselines.
@@ -15,13 +15,13 @@
 }
 
 /// Makes an entry's policy over the instances that it knows.
-export type MakePolicy = (registry: InstanceRegistry) => PlacementPolicy
+export type PolicyFactory = (registry: InstanceRegistry) => PlacementPolicy
 
 export interface EmulationOptions {
-  readonly engines: readonly EngineTraits[]
+  readonly engines: readonly EngineProfile[]
   readonly entries: number
   readonly trace: readonly TracedProgram[]
-  readonly makePolicy: MakePolicy
+  readonly makePolicy: PolicyFactory
 }
 
 /// What became of the programs of a trace.
@@ -30,7 +30,7 @@
   readonly late: number
   readonly failed: number
   /// Worth of what ended in its aim, and a share of what ended late, against all.
-  readonly worth: number
+  readonly weightedGoodput: number
 }
 
 const service = 'models'
@@ -56,7 +56,7 @@
     this.entries = Array.from({ length: options.entries }, () => ({ policy: options.makePolicy(this.newRegistry()) }))
   }
 
-  async play (): Promise<EmulationResult> {
+  async run (): Promise<EmulationResult> {
     const ends = await Promise.all(this.options.trace.map(program => this.playProgram(program)))
     const counts = { inAim: 0, late: 0, failed: 0 }
     let earned = 0
@@ -66,7 +66,7 @@
       owed += worth
       earned += outcome === 'inAim' ? worth : outcome === 'late' ? worth * lateShare : 0
     }
-    return { ...counts, worth: earned / owed }
+    return { ...counts, weightedGoodput: earned / owed }
   }
 
   private async playProgram (program: TracedProgram): Promise<{ outcome: 'inAim' | 'late' | 'failed', worth: number }> {
@@ -124,7 +124,7 @@
     await new Promise<void>(resolve => this.engines.get(instance.description.id)!.run({
       prefix: call.prefix,
       outputTokens: turn.outputTokens,
-      onFirst: (running, waiting) => {
+      onFirstToken: (running, waiting) => {
         recordLoad(instance, { running, waiting, slots: instance.description.slots }, performance.now())
       },
       onEnd: resolve
@@ -158,7 +158,7 @@
 
 function callOf (program: TracedProgram, turn: TracedTurn, index: number, before: readonly string[]): Call {
   const own = [...before, `${program.id}/${index}`].map(id => ({ id, tokens: turn.inputTokens }))
-  return plainCall(`${program.id}/${index}`, {
+  return createCall(`${program.id}/${index}`, {
     callerTimeoutMs: patienceMs,
     program: { id: program.id, sessionId: program.id, remainingMs: patienceMs, tokenBudget: null },
     prefix: [{ id: program.sharedPart, tokens: sharedTokens }, ...own]
--- a/emulator/policy/src/engine.ts
+++ b/emulator/policy/src/engine.ts
@@ -1,5 +1,5 @@
 /// A model engine's traits, as the platform's sheet gives them.
-export interface EngineTraits {
+export interface EngineProfile {
   readonly slots: number
   readonly stepMs: number
   /// What each running call adds to a step.
@@ -17,7 +17,7 @@
   readonly prefix: readonly { readonly id: string, readonly tokens: number }[]
   readonly outputTokens: number
   /// With the first token: what runs and waits there then.
-  onFirst (running: number, waiting: number): void
+  onFirstToken (running: number, waiting: number): void
   onEnd (): void
 }
 
@@ -39,7 +39,7 @@
   private readonly cached = new Set<string>()
   private timer: ReturnType<typeof setInterval> | null = null
 
-  constructor (readonly traits: EngineTraits) {}
+  constructor (readonly traits: EngineProfile) {}
 
   run (call: EngineCall): void {
     this.waiting.push(call)
@@ -73,7 +73,7 @@
     const tokens = decodeMs / this.stepMs()
     for (const running of [...this.running]) {
       if (running.prefillLeft > 0) continue
-      if (!running.hasBegun) running.call.onFirst(this.running.length, this.waiting.length)
+      if (!running.hasBegun) running.call.onFirstToken(this.running.length, this.waiting.length)
       running.hasBegun = true
       running.tokensLeft -= tokens
       if (running.tokensLeft > 0) continue
--- a/emulator/policy/src/policies.ts
+++ b/emulator/policy/src/policies.ts
@@ -2,12 +2,12 @@
 import { noopLog } from '#process/log'
 import { Placement } from '#process/placement'
 import type { InstanceLease } from '#process/placement'
-import type { MakePolicy, PlacementPolicy } from './emulation.js'
+import type { PolicyFactory, PlacementPolicy } from './emulation.js'
 
 const zone = 'z'
 
 /// The product's policy and plain ones to hold it against.
-export const policies: Readonly<Record<string, MakePolicy>> = {
+export const policies: Readonly<Record<string, PolicyFactory>> = {
   'round robin': registry => new PlainPolicy(registry, takeInTurn()),
   'least loaded': registry => new PlainPolicy(registry, leastLoaded),
   'every program begun': registry => beginEveryProgram(new Placement(registry, zone, noopLog)),
--- a/emulator/policy/test/policy.test.ts
+++ b/emulator/policy/test/policy.test.ts
@@ -1,24 +1,24 @@
 import { expect, test } from 'vitest'
-import { EmulatedEngine, playScenario, policies, scenarios } from '#emulator/policy'
+import { EmulatedEngine, runScenario, policies, scenarios } from '#emulator/policy'
 
 const seed = 3
 
 test('the same seed gives the same result', async () => {
-  const play = (): ReturnType<typeof playScenario> => playScenario(scenarios.calm!, policies.chosen!, seed)
+  const play = (): ReturnType<typeof runScenario> => runScenario(scenarios.calm!, policies.chosen!, seed)
   expect(await play()).toEqual(await play())
 })
 
 test.each(['calm', 'busy'])('on a %s day nobody is refused', async name => {
-  expect((await playScenario(scenarios[name]!, policies.chosen!, seed)).failed).toBe(0)
+  expect((await runScenario(scenarios[name]!, policies.chosen!, seed)).failed).toBe(0)
 })
 
 test('with half the engines more programs end in their aim than if every one is begun', async () => {
   const halved = scenarios['half the engines']!
-  const chosen = await playScenario(halved, policies.chosen!, seed)
-  const greedy = await playScenario(halved, policies['every program begun']!, seed)
-  const plain = await playScenario(halved, policies['least loaded']!, seed)
-  expect(chosen.worth).toBeGreaterThan(greedy.worth)
-  expect(greedy.worth).toBeGreaterThan(plain.worth)
+  const chosen = await runScenario(halved, policies.chosen!, seed)
+  const greedy = await runScenario(halved, policies['every program begun']!, seed)
+  const plain = await runScenario(halved, policies['least loaded']!, seed)
+  expect(chosen.weightedGoodput).toBeGreaterThan(greedy.weightedGoodput)
+  expect(greedy.weightedGoodput).toBeGreaterThan(plain.weightedGoodput)
 })
 
 test('an engine reads a prompt once, and takes the next call in order of arrival', async () => {
@@ -29,7 +29,7 @@
   const run = (name: string): Promise<number> => new Promise(resolve => engine.run({
     prefix: [{ id: 'shared', tokens: 5000 }],
     outputTokens: 20,
-    onFirst: () => {},
+    onFirstToken: () => {},
     onEnd: () => {
       ends.push(name)
       resolve(performance.now() - startedAtMs)
--- a/process/cli/src/cli.ts
+++ b/process/cli/src/cli.ts
@@ -1,14 +1,14 @@
 import { readFileSync } from 'node:fs'
 import yargs from 'yargs'
 import { SettingsError, parseSettings } from '#process/settings'
-import { formatLine, formatTimeline, linesAbout, readLines, timelineOf } from './lines.js'
+import { formatLine, formatTimeline, findRelatedLines, parseLogLines, buildTimeline } from './lines.js'
 import type { LogLine, TimelineCall } from './lines.js'
 import { timelinePage } from './page.js'
 import { formatReports, readReports } from './report.js'
 import { formatStatus, readStatus } from './status.js'
 
 /// Where the command line reads and writes; tests give their own.
-export interface CliStreams {
+export interface CliIo {
   readonly readInput: () => string
   readonly write: (text: string) => void
   /// Rejects where the answer isn't a success.
@@ -22,7 +22,7 @@
 const defaultAroundMs = 1000
 
 /// Runs one command of `chicorynotch`.
-export async function runCli (words: readonly string[], streams: CliStreams): Promise<ExitCode> {
+export async function runCli (words: readonly string[], streams: CliIo): Promise<ExitCode> {
   let code: ExitCode = 0
   // The parser calls a command's handler also where it has found a fault in the words.
   const run = async (work: () => ExitCode | Promise<ExitCode>): Promise<void> => {
@@ -58,7 +58,7 @@
   return code
 }
 
-function check (file: string, isJson: boolean, { write }: CliStreams): ExitCode {
+function check (file: string, isJson: boolean, { write }: CliIo): ExitCode {
   try {
     const settings = parseSettings(file, readFileSync(file, 'utf8'))
     write(isJson ? jsonText(settings) : `${file}: sound, role ${settings.node.role}\n`)
@@ -70,26 +70,26 @@
   }
 }
 
-async function status (addresses: readonly string[], isJson: boolean, streams: CliStreams): Promise<ExitCode> {
+async function status (addresses: readonly string[], isJson: boolean, streams: CliIo): Promise<ExitCode> {
   const statuses = await readStatus(addresses, streams.fetchText)
   streams.write(isJson ? jsonText(statuses) : `${formatStatus(statuses)}\n`)
   return statuses.every(({ values }) => values !== null) ? 0 : 1
 }
 
-function report (files: readonly string[], site: string | undefined, isJson: boolean, { write }: CliStreams): ExitCode {
+function report (files: readonly string[], site: string | undefined, isJson: boolean, { write }: CliIo): ExitCode {
   const reports = readReports(files.map(file => readFileSync(file, 'utf8')))
     .filter(day => site === undefined || day.site === site)
   return show(reports, isJson, days => `${formatReports(days)}\n`, 'no day was played', write)
 }
 
-function explain (id: string, aroundMs: number, isJson: boolean, { readInput, write }: CliStreams): ExitCode {
-  const lines = linesAbout(readLines(readInput()), id, aroundMs)
+function explain (id: string, aroundMs: number, isJson: boolean, { readInput, write }: CliIo): ExitCode {
+  const lines = findRelatedLines(parseLogLines(readInput()), id, aroundMs)
   const print = (found: readonly LogLine[]): string => found.map(line => `${formatLine(line)}\n`).join('')
   return show(lines, isJson, print, `no line about ${id}`, write)
 }
 
-function timeline (programId: string, isJson: boolean, isPage: boolean, { readInput, write }: CliStreams): ExitCode {
-  const calls = timelineOf(readLines(readInput()), programId)
+function timeline (programId: string, isJson: boolean, isPage: boolean, { readInput, write }: CliIo): ExitCode {
+  const calls = buildTimeline(parseLogLines(readInput()), programId)
   const draw = (found: readonly TimelineCall[]): string => {
     return isPage ? timelinePage(programId, found) : `${formatTimeline(found)}\n`
   }
@@ -102,7 +102,7 @@
   isJson: boolean,
   format: (found: readonly Item[]) => string,
   nothing: string,
-  write: CliStreams['write']
+  write: CliIo['write']
 ): ExitCode {
   if (isJson) write(jsonText(found))
   else write(found.length > 0 ? format(found) : `${nothing}\n`)
--- a/process/cli/src/index.ts
+++ b/process/cli/src/index.ts
@@ -1,4 +1,4 @@
 export { runCli } from './cli.js'
-export type { CliStreams, ExitCode } from './cli.js'
-export { linesAbout, readLines, timelineOf } from './lines.js'
+export type { CliIo, ExitCode } from './cli.js'
+export { findRelatedLines, parseLogLines, buildTimeline } from './lines.js'
 export type { LogLine, TimelineCall } from './lines.js'
--- a/process/cli/src/lines.ts
+++ b/process/cli/src/lines.ts
@@ -11,7 +11,7 @@
 
 /// Reads log lines of several processes, in order of time. What stands before
 /// a line's object is passed over, as is what holds none.
-export function readLines (text: string): LogLine[] {
+export function parseLogLines (text: string): LogLine[] {
   const lines: LogLine[] = []
   for (const raw of text.split('\n')) {
     const line = readLine(raw)
@@ -41,7 +41,7 @@
 
 /// The lines of a call or a program, and what the processes that had it
 /// believed otherwise within `aroundMs` of them.
-export function linesAbout (lines: readonly LogLine[], id: string, aroundMs: number): LogLine[] {
+export function findRelatedLines (lines: readonly LogLine[], id: string, aroundMs: number): LogLine[] {
   const about = lines.filter(line => mentions(line, id))
   if (about.length === 0) return []
   const nodes = new Set(about.map(line => line.node))
@@ -78,7 +78,7 @@
 const endings = new Set(['call-finished', 'call-refused', 'call-abandoned', 'answer-broken'])
 
 /// The calls of a program over all processes, from its first one on.
-export function timelineOf (lines: readonly LogLine[], programId: string): TimelineCall[] {
+export function buildTimeline (lines: readonly LogLine[], programId: string): TimelineCall[] {
   const calls: TimelineCall[] = []
   for (const line of lines) {
     if (line.fields.programId !== programId || !endings.has(line.name)) continue
--- a/process/entry/test/harness.ts
+++ b/process/entry/test/harness.ts
@@ -13,7 +13,7 @@
 import { Metrics } from '#process/metrics'
 import { Placement } from '#process/placement'
 import { platformHeaders, parseConfiguration, parseInstance } from '#platform'
-import { configuration } from '#standin/system'
+import { createConfiguration } from '#standin/system'
 
 /// A ledger in memory that can be told to fail.
 export class FakeLedger implements TurnLedger {
@@ -92,7 +92,7 @@
       return { name: id, revision: 1, spec, status: null }
     })
     this.registry.onListing({ objects, revision: 1 }, false)
-    const routes = new RouteTable(parseConfiguration({ name: 'main', revision: 1, spec: configuration(1), status: null }))
+    const routes = new RouteTable(parseConfiguration({ name: 'main', revision: 1, spec: createConfiguration(1), status: null }))
     const context = {
       codec: platformHeaders,
       placement: new Placement(this.registry, 'z', noopLog),
--- a/process/entry/test/serve.test.ts
+++ b/process/entry/test/serve.test.ts
@@ -10,8 +10,8 @@
 let tools: StandinUpstream[]
 
 beforeEach(async () => {
-  engines = [0, 1].map(i => new StandinUpstream({ id: `models-${i}`, events: 4, firstMs: 1, eventMs: 1 }))
-  tools = [0, 1].map(i => new StandinUpstream({ id: `tools-${i}`, events: 0, firstMs: 1, eventMs: 0 }))
+  engines = [0, 1].map(i => new StandinUpstream({ id: `models-${i}`, eventCount: 4, firstByteDelayMs: 1, eventIntervalMs: 1 }))
+  tools = [0, 1].map(i => new StandinUpstream({ id: `tools-${i}`, eventCount: 0, firstByteDelayMs: 1, eventIntervalMs: 0 }))
   const upstreams = [...engines, ...tools]
   const listed = upstreams.map(async upstream => ({ id: upstream.options.id, address: await upstream.listen() }))
   entry = new EntryHarness(await Promise.all(listed))
@@ -31,7 +31,7 @@
   for (const upstream of upstreams) upstream.fault = kind
 }
 
-const ran = (upstreams: StandinUpstream[]): number => upstreams.reduce((sum, upstream) => sum + upstream.ran.length, 0)
+const ran = (upstreams: StandinUpstream[]): number => upstreams.reduce((sum, upstream) => sum + upstream.executedRequests.length, 0)
 
 test('an answer is passed on with its signature, under the id of the call', async () => {
   const seen = await call('/charge/1', { 'attempt-id': 'a1' })
@@ -41,7 +41,7 @@
 
 test('headers that are the system\'s to set do not go upstream', async () => {
   await call('/charge/1', { hold: 'x', 'pin-ms': '5', 'kv-backup': '1.2.3.4:5', 'expect-instance': 'other', 'x-own': 'kept' })
-  const { headers } = tools.flatMap(upstream => upstream.ran)[0]!
+  const { headers } = tools.flatMap(upstream => upstream.executedRequests)[0]!
   expect([headers.hold, headers['pin-ms'], headers['kv-backup']]).toEqual([undefined, undefined, undefined])
   expect(headers['x-own']).toBe('kept')
   expect(headers['expect-instance']).toMatch(/^tools-/)
@@ -64,7 +64,7 @@
 test('an idempotent call that one instance refuses runs at the other', async () => {
   tools[0]!.fault = UpstreamFault.full
   for (let i = 0; i < 4; i++) expect((await call('/check/1', {}, 'GET')).status).toBe(200)
-  expect([tools[0]!.ran.length, tools[1]!.ran.length]).toEqual([0, 4])
+  expect([tools[0]!.executedRequests.length, tools[1]!.executedRequests.length]).toEqual([0, 4])
 })
 
 test.each<[string, UpstreamFault, number]>([
@@ -102,7 +102,7 @@
 test('a turn gets the inputs and outputs before it, and is kept before its answer ends', async () => {
   await call('/chat/1', { 'attempt-id': 't1' }, 'POST', 'first;')
   await call('/chat/1', { 'attempt-id': 't2', 'previous-turn': 't1' }, 'POST', 'second;')
-  const prompts = engines.flatMap(engine => engine.ran).map(request => request.body)
+  const prompts = engines.flatMap(engine => engine.executedRequests).map(request => request.body)
   const output = [1, 2, 3, 4].map(id => `piece ${id} after 6 bytes\n`).join('')
   expect(prompts).toEqual(['first;', `first;${output}second;`])
   expect(entry.ledger.records.has('3/t2')).toBe(true)
--- a/process/placement/test/placement.test.ts
+++ b/process/placement/test/placement.test.ts
@@ -6,7 +6,7 @@
 import { Placement, chooseInstance } from '#process/placement'
 import type { InstanceLease, PlacementRequest } from '#process/placement'
 import { parseInstance } from '#platform'
-import { plainCall } from '#standin/call'
+import { createCall } from '#standin/call'
 
 let registry: InstanceRegistry
 let placement: Placement
@@ -26,7 +26,7 @@
 afterEach(() => { vi.useRealTimers() })
 
 function need (id: string, fields: Partial<PlacementRequest> = {}, remainingMs = 5000): PlacementRequest {
-  const call = plainCall(id, { program: { id, sessionId: id, remainingMs, tokenBudget: null } })
+  const call = createCall(id, { program: { id, sessionId: id, remainingMs, tokenBudget: null } })
   return {
     call,
     service: 's',
--- a/process/storage/test/budget.test.ts
+++ b/process/storage/test/budget.test.ts
@@ -5,7 +5,7 @@
 import { RouteKind } from '#version/configuration'
 import type { Route } from '#version/configuration'
 import { noopLog } from '#process/log'
-import { plainCall } from '#standin/call'
+import { createCall } from '#standin/call'
 import { Cluster, faults, pauseClock } from './cluster.js'
 import type { Fault } from './cluster.js'
 
@@ -42,7 +42,7 @@
 })
 
 function callOf (tokenBudget: number): Call {
-  return plainCall(`c${++calls}`, { program: { id: 'p', sessionId: 's', remainingMs: 4000, tokenBudget } })
+  return createCall(`c${++calls}`, { program: { id: 'p', sessionId: 's', remainingMs: 4000, tokenBudget } })
 }
 
 /// Whether a turn through an entry may run.
--- a/standin/call/src/call.ts
+++ b/standin/call/src/call.ts
@@ -3,7 +3,7 @@
 const patienceMs = 4000
 
 /// A call that just came, with nothing that only some calls have.
-export function plainCall (id: string, fields: Partial<Call> = {}): Call {
+export function createCall (id: string, fields: Partial<Call> = {}): Call {
   return {
     id,
     method: 'POST',
--- a/standin/call/src/index.ts
+++ b/standin/call/src/index.ts
@@ -1,1 +1,1 @@
-export { plainCall } from './call.js'
+export { createCall } from './call.js'
--- a/standin/store/src/store.ts
+++ b/standin/store/src/store.ts
@@ -34,7 +34,7 @@
 /// published protocol: lists with pages, watches, conditional writes.
 export class StandinStore {
   fault: StoreFault = StoreFault.none
-  calls = 0
+  requestCount = 0
   private revision = 1
   private readonly kinds = new Map<string, Map<string, StandinObject>>()
   private history: Change[] = []
@@ -87,7 +87,7 @@
   }
 
   /// Drops the history and cuts the watches.
-  forgetHistory (): void {
+  compactHistory (): void {
     this.history = []
     this.forgottenUpTo = this.revision
     for (const waiter of this.waiters.splice(0)) {
@@ -97,7 +97,7 @@
   }
 
   private async handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
-    this.calls++
+    this.requestCount++
     const { fault } = this
     if (fault === StoreFault.silent) return
     if (fault === StoreFault.reset) {
--- a/standin/system/src/index.ts
+++ b/standin/system/src/index.ts
@@ -1,3 +1,3 @@
-export { freePorts } from './ports.js'
-export { StandinSystem, configuration, tokensPerEvent } from './system.js'
+export { findFreePorts } from './ports.js'
+export { StandinSystem, createConfiguration, tokensPerEvent } from './system.js'
 export type { SystemNode, SystemOptions } from './system.js'
--- a/standin/system/src/ports.ts
+++ b/standin/system/src/ports.ts
@@ -9,7 +9,7 @@
 let nextPort = lowestPort + (process.pid * 97) % (highestPort - lowestPort)
 
 /// Finds ports of 127.0.0.1 that nobody listens on, none of them twice in one process.
-export async function freePorts (count: number): Promise<number[]> {
+export async function findFreePorts (count: number): Promise<number[]> {
   const ports: number[] = []
   while (ports.length < count) {
     const port = nextPort
--- a/standin/system/src/system.ts
+++ b/standin/system/src/system.ts
@@ -6,7 +6,7 @@
 import { sleep } from '#process/clock'
 import { StandinStore } from '#standin/store'
 import { StandinUpstream } from '#standin/upstream'
-import { freePorts } from './ports.js'
+import { findFreePorts } from './ports.js'
 
 /// The whole system as real processes on loopback, before stand-ins.
 export interface SystemOptions {
@@ -54,7 +54,7 @@
   async start (): Promise<void> {
     this.folder = await mkdtemp(join(tmpdir(), 'chicorynotch-'))
     this.storeAddress = await this.store.listen()
-    this.store.put('config', 'main', configuration(1))
+    this.store.put('config', 'main', createConfiguration(1))
     for (let i = 0; i < this.options.engines; i++) await this.addUpstream('models', i, 12)
     for (let i = 0; i < this.options.services; i++) await this.addUpstream('tools', i, 0)
     for (let i = 0; i < this.options.storages; i++) await this.addNode('storage', i)
@@ -94,21 +94,21 @@
         await sleep(50)
       }
     }
-    while (this.membersServing() < this.options.storages) {
+    while (this.countServingMembers() < this.options.storages) {
       if (performance.now() > endsAtMs) throw new Error('the storage instances did not join')
       await sleep(50)
     }
   }
 
   /// Storage members that hold everything, as the store's view says.
-  membersServing (): number {
+  countServingMembers (): number {
     const view = this.store.get('chicorynotch-storage-views', 'current')?.spec as { members: { state: string }[] } | undefined
     return view?.members.filter(member => member.state === 'serving').length ?? 0
   }
 
   private async addUpstream (service: 'models' | 'tools', number: number, events: number): Promise<void> {
     const id = `${service}-${number}`
-    const upstream = new StandinUpstream({ id, events, firstMs: 8, eventMs: 4 })
+    const upstream = new StandinUpstream({ id, eventCount: events, firstByteDelayMs: 8, eventIntervalMs: 4 })
     const address = await upstream.listen();
     (service === 'models' ? this.engines : this.services).push(upstream)
     const zone = zones[number % zones.length]!
@@ -117,7 +117,7 @@
 
   private async addNode (role: SystemNode['role'], number: number): Promise<void> {
     const name = `${role}-${number}`
-    const [callers, readiness, peer, metrics] = await freePorts(4)
+    const [callers, readiness, peer, metrics] = await findFreePorts(4)
     const dataDir = join(this.folder, name, 'data')
     await mkdir(join(this.folder, name))
     const node = {
@@ -182,7 +182,7 @@
 }
 
 /// The operator's configuration before the stand-ins.
-export function configuration (version: number): unknown {
+export function createConfiguration (version: number): unknown {
   const turn = { hostname: 'demo.example', route_kind: 'streaming', timeout_ms: 4000, target_latency_ms: 250, service: 'models', max_attempts: 2, retention_s: 60, sticky: true, target_gap_ms: 200 }
   const tool = { hostname: 'demo.example', timeout_ms: 1500, target_latency_ms: 100, priority: 2, service: 'tools' }
   return {
--- a/standin/upstream/src/index.ts
+++ b/standin/upstream/src/index.ts
@@ -1,2 +1,2 @@
 export { StandinUpstream, UpstreamFault } from './upstream.js'
-export type { RanRequest, UpstreamOptions } from './upstream.js'
+export type { ExecutedRequest, UpstreamOptions } from './upstream.js'
--- a/standin/upstream/src/upstream.ts
+++ b/standin/upstream/src/upstream.ts
@@ -27,13 +27,13 @@
 export interface UpstreamOptions {
   readonly id: string
   /// Events of a stream; 0 for a plain service.
-  readonly events: number
-  readonly firstMs: number
-  readonly eventMs: number
+  readonly eventCount: number
+  readonly firstByteDelayMs: number
+  readonly eventIntervalMs: number
 }
 
 /// A request that an instance has run.
-export interface RanRequest {
+export interface ExecutedRequest {
   readonly callId: string
   readonly method: string
   readonly path: string
@@ -45,11 +45,11 @@
 /// protocol: a model engine that streams events, or a plain service.
 export class StandinUpstream {
   fault: UpstreamFault = UpstreamFault.none
-  readonly ran: RanRequest[] = []
+  readonly executedRequests: ExecutedRequest[] = []
   /// Between the last bytes and the reset; 0: the caller sees both at once.
   resetAfterMs = 20
   /// Called with each request that begins to run.
-  onRun: (request: RanRequest) => void = () => {}
+  onRun: (request: ExecutedRequest) => void = () => {}
   private readonly server: Server
 
   constructor (readonly options: UpstreamOptions) {
@@ -83,7 +83,7 @@
       return
     }
     const ran = { callId, method, path, headers, body: Buffer.concat(chunks).toString('utf8') }
-    this.ran.push(ran)
+    this.executedRequests.push(ran)
     this.onRun(ran)
     if (this.fault === UpstreamFault.silent) return
     if (this.fault === UpstreamFault.answerLost) {
@@ -96,20 +96,20 @@
     }
     const named = this.fault === UpstreamFault.mixedUp ? 'another' : callId
     const head = { 'attempt-id': named, 'server-signature': `${this.options.id}.${callId}`, 'server-load': '1,0,32' }
-    if (this.options.events > 0) await this.stream(request, response, head, ran)
+    if (this.options.eventCount > 0) await this.stream(request, response, head, ran)
     else await this.answer(response, head, ran)
   }
 
   private resetUnframed (socket: Socket, callId: string): void {
-    const type = this.options.events > 0 ? 'text/event-stream' : 'text/plain'
+    const type = this.options.eventCount > 0 ? 'text/event-stream' : 'text/plain'
     const head = `HTTP/1.1 200 OK\r\nattempt-id: ${callId}\r\nserver-signature: s\r\ncontent-type: ${type}\r\nconnection: close\r\n\r\n`
     socket.write(`${head}id: 1\ndata: first\n\n`)
     if (this.resetAfterMs === 0) socket.resetAndDestroy()
     else setTimeout(() => socket.resetAndDestroy(), this.resetAfterMs)
   }
 
-  private async answer (response: ServerResponse, head: Record<string, string>, ran: RanRequest): Promise<void> {
-    await sleep(this.options.firstMs)
+  private async answer (response: ServerResponse, head: Record<string, string>, ran: ExecutedRequest): Promise<void> {
+    await sleep(this.options.firstByteDelayMs)
     const body = `done ${ran.path} ${ran.body}`
     if (this.fault === UpstreamFault.unframed) {
       response.removeHeader('transfer-encoding')
@@ -131,12 +131,12 @@
     response: ServerResponse,
     head: Record<string,
     string>,
-    ran: RanRequest
+    ran: ExecutedRequest
   ): Promise<void> {
-    await sleep(this.options.firstMs)
+    await sleep(this.options.firstByteDelayMs)
     const from = Number(ran.headers['last-event-id'] ?? 0) + 1
     response.writeHead(200, { ...head, 'content-type': 'text/event-stream' })
-    for (let id = from; id <= this.options.events; id++) {
+    for (let id = from; id <= this.options.eventCount; id++) {
       if (request.socket.destroyed) return
       const event = `id: ${id}\ndata: ${this.textOf(ran, id)}\n\n`
       if (this.fault === UpstreamFault.broken && id > from + 1) {
@@ -144,13 +144,13 @@
         return
       }
       response.write(event)
-      await sleep(this.options.eventMs)
+      await sleep(this.options.eventIntervalMs)
     }
     response.end()
   }
 
   /// The same prompt gives the same events at every instance.
-  private textOf (ran: RanRequest, id: number): string {
+  private textOf (ran: ExecutedRequest, id: number): string {
     return `piece ${id} after ${ran.body.length} bytes`
   }
 }
