--- a/connection/store/src/watch.ts
+++ b/connection/store/src/watch.ts
@@ -24,7 +24,12 @@
 
 /// Follows a kind of objects: lists it, then waits for changes. After a
 /// failure it lists again, so that nothing rests on a watch that was cut.
-export function watchObjects (store: ObjectStore, options: WatchOptions, follower: WatchHandler, log: EventLog): () => void {
+export function watchObjects (
+  store: ObjectStore,
+  options: WatchOptions,
+  follower: WatchHandler,
+  log: EventLog
+): () => void {
   const stop = new AbortController()
   run(store, options, follower, log, stop.signal).catch((error: unknown) => {
     log.event(Events.unexpectedError, { where: `following ${options.kind}`, error: formatError(error) })
--- a/process/entry/src/serve.ts
+++ b/process/entry/src/serve.ts
@@ -194,6 +194,11 @@
         retryAfterMs: refused.retryAfterMs
       }
     })
-    this.exchange.respond(refused.status, headers, Buffer.from(body), this.state.shouldCloseConnections || call === null)
+    this.exchange.respond(
+      refused.status,
+      headers,
+      Buffer.from(body),
+      this.state.shouldCloseConnections || call === null
+    )
   }
 }
--- a/process/entry/test/harness.ts
+++ b/process/entry/test/harness.ts
@@ -83,7 +83,7 @@
 
   constructor (instances: readonly Listed[]) {
     this.registry = new InstanceRegistry({
-      parseInstance: parseInstance,
+      parseInstance,
       connect: at => new InstanceClient(at.address, 8),
       onChange: () => {}
     }, noopLog)
--- a/process/entry/test/serve.test.ts
+++ b/process/entry/test/serve.test.ts
@@ -31,7 +31,8 @@
   for (const upstream of upstreams) upstream.fault = kind
 }
 
-const ran = (upstreams: StandinUpstream[]): number => upstreams.reduce((sum, upstream) => sum + upstream.executedRequests.length, 0)
+const ran = (upstreams: StandinUpstream[]): number =>
+  upstreams.reduce((sum, upstream) => sum + upstream.executedRequests.length, 0)
 
 test('an answer is passed on with its signature, under the id of the call', async () => {
   const seen = await call('/charge/1', { 'attempt-id': 'a1' })
--- a/process/instances/test/registry.test.ts
+++ b/process/instances/test/registry.test.ts
@@ -15,7 +15,7 @@
 
 function registry (): InstanceRegistry {
   return new InstanceRegistry({
-    parseInstance: parseInstance,
+    parseInstance,
     connect: ({ address }) => new InstanceClient(address, 4),
     onChange: () => {}
   }, noopLog)
--- a/process/membership/test/view.test.ts
+++ b/process/membership/test/view.test.ts
@@ -1,7 +1,8 @@
 import { describe, expect, test } from 'vitest'
 import type { Member, View } from '#connection/rpc'
 import {
-  MemberState, requiredCopySources, emptyView, canEvict, computeQuorums, parseView, withServing, withLeaving, withMember,
+  MemberState, requiredCopySources, emptyView, canEvict, computeQuorums, parseView, withServing, withLeaving,
+  withMember,
   withSynced
 } from '#process/membership'
 
--- a/process/placement/src/placement.ts
+++ b/process/placement/src/placement.ts
@@ -116,7 +116,8 @@
   }
 
   private candidates (need: PlacementRequest): Instance[] {
-    return [...this.registry.readyInstances(need.service)].filter(instance => !need.excluded.has(instance.description.id))
+    return [...this.registry.readyInstances(need.service)]
+      .filter(instance => !need.excluded.has(instance.description.id))
   }
 
   private take (instance: Instance): InstanceLease {
--- a/process/placement/test/placement.test.ts
+++ b/process/placement/test/placement.test.ts
@@ -14,7 +14,7 @@
 beforeEach(() => {
   vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'performance'] })
   const connect = ({ address }: { address: string }): InstanceClient => new InstanceClient(address, 4)
-  registry = new InstanceRegistry({ parseInstance: parseInstance, connect, onChange: () => {} }, noopLog)
+  registry = new InstanceRegistry({ parseInstance, connect, onChange: () => {} }, noopLog)
   const objects = ['a', 'b'].map((name, i) => {
     const spec = { service: 's', address: `10.0.0.${i + 1}:80`, zone: `z${i}`, slots: 1, state: 'ready' }
     return { name, revision: 1, spec, status: null }
--- a/process/storage/test/budget.test.ts
+++ b/process/storage/test/budget.test.ts
@@ -47,7 +47,8 @@
 
 /// Whether a turn through an entry may run.
 function opens (entry: number, tokenBudget: number): Promise<TokenReservation | null> {
-  return TokenReservation.acquire(callOf(tokenBudget), route, mostTokens, cluster.entries[entry]!, noopLog).catch(() => null)
+  return TokenReservation.acquire(callOf(tokenBudget), route, mostTokens, cluster.entries[entry]!, noopLog)
+    .catch(() => null)
 }
 
 // Each of three turns at once may see just one of the others: their reservations reach the
--- a/request/forward/src/unary.ts
+++ b/request/forward/src/unary.ts
@@ -23,7 +23,13 @@
     const hasAlternative = isIdempotent && tries.sent + 1 < route.maxInstances
     const silenceMs = hasAlternative ? Math.max(minSilenceMs, route.targetLatencyMs * silencePerTarget) : 0
     const { body } = routed
-    const result = await tries.send(place, { body, lastEventId: -1, listener: null, idleTimeoutMs: silenceMs, details: {} })
+    const result = await tries.send(place, {
+      body,
+      lastEventId: -1,
+      listener: null,
+      idleTimeoutMs: silenceMs,
+      details: {}
+    })
     if (result.kind === 'answer') {
       lastAnswer = result
       if (!hasAlternative || result.head.status < 500) break
