--- a/emulator/policy/src/compare.ts
+++ b/emulator/policy/src/compare.ts
@@ -3,69 +3,69 @@
 import type { EmulationResult, PolicyFactory } from './emulation.js'
 import type { EngineProfile } from './engine.js'
 import { policies } from './policies.js'
-import { makeTrace } from './trace.js'
+import { createTrace } from './trace.js'
 import type { TracedProgram } from './trace.js'
 
-/// A load to compare policies under.
+/// A load under which policies are compared.
 export interface Scenario {
   readonly engines: number
   readonly programsPerS: number
 }
 
-/// By the users' sheets: all engines on a calm and on a busy day, half of them on a calm one.
+/// From the users' requirements: all engines on a calm and on a busy day, and half of the engines on a calm day.
 export const scenarios: Readonly<Record<string, Scenario>> = {
   calm: { engines: 6, programsPerS: 15 },
   busy: { engines: 6, programsPerS: 34 },
   'half the engines': { engines: 3, programsPerS: 24 }
 }
 
-const traits: EngineProfile = {
+const engineProfile: EngineProfile = {
   slots: 32,
   stepMs: 1.21,
   stepMsPerCall: 0.0181,
   stepMsPerKContext: 0.000549,
   prefillTokensPerMs: 299,
-  slowness: 1
+  slowdownFactor: 1
 }
 const entries = 4
-const forMs = 25_000
-const settleMs = 60_000
+const traceDurationMs = 25_000
+const drainMs = 60_000
 
-/// Plays one scenario with one policy on a virtual clock: the same seed gives the same result.
+/// Runs one scenario with one policy on a virtual clock. The same seed gives the same result.
 export async function runScenario (
   scenario: Scenario,
-  makePolicy: PolicyFactory,
+  createPolicy: PolicyFactory,
   seed: number
 ): Promise<EmulationResult> {
-  const trace = makeTrace({ seed, forMs, programsPerS: scenario.programsPerS, entries })
-  const engines = Array.from({ length: scenario.engines }, () => traits)
-  return await onVirtualClock(trace, () => {
-    return new Emulation({ engines, entries, trace, makePolicy }).run()
+  const trace = createTrace({ seed, durationMs: traceDurationMs, programsPerS: scenario.programsPerS, entries })
+  const engines = Array.from({ length: scenario.engines }, () => engineProfile)
+  return await runOnVirtualClock(trace, () => {
+    return new Emulation({ engines, entries, trace, createPolicy }).run()
   })
 }
 
-async function onVirtualClock (
+async function runOnVirtualClock (
   trace: readonly TracedProgram[],
-  play: () => Promise<EmulationResult>
+  run: () => Promise<EmulationResult>
 ): Promise<EmulationResult> {
   const clock = install({ toFake: ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'performance'] })
   try {
-    const result = play()
-    await clock.tickAsync(trace[trace.length - 1]!.startMs + settleMs)
+    const result = run()
+    await clock.tickAsync(trace[trace.length - 1]!.startMs + drainMs)
     return await result
   } finally {
     clock.uninstall()
   }
 }
 
-/// A table: a line for each scenario and policy.
+/// Runs every scenario with every policy and formats the results as a table, one line per pair.
 export async function comparePolicies (seed: number): Promise<string> {
-  const lines = [`seed ${seed}`.padEnd(40) + 'in aim   late failed  worth']
+  const lines = [`seed ${seed}`.padEnd(40) + 'timely   late failed  weighted goodput']
   for (const [scenarioName, scenario] of Object.entries(scenarios)) {
-    for (const [policyName, makePolicy] of Object.entries(policies)) {
-      const { inAim, late, failed, weightedGoodput: worth } = await runScenario(scenario, makePolicy, seed)
+    for (const [policyName, createPolicy] of Object.entries(policies)) {
+      const { inAim, late, failed, weightedGoodput } = await runScenario(scenario, createPolicy, seed)
       const counts = [inAim, late, failed].map(count => String(count).padStart(6)).join(' ')
-      lines.push(`${scenarioName.padEnd(18)}${policyName.padEnd(22)}${counts}  ${worth.toFixed(3)}`)
+      lines.push(`${scenarioName.padEnd(18)}${policyName.padEnd(22)}${counts}  ${weightedGoodput.toFixed(3)}`)
     }
   }
   return lines.join('\n')
--- a/emulator/policy/src/emulation.ts
+++ b/emulator/policy/src/emulation.ts
@@ -9,101 +9,105 @@
 import type { EngineProfile } from './engine.js'
 import type { TracedProgram, TracedTurn } from './trace.js'
 
-/// Gives a call its place, or refuses it. `Placement` is one; so are the baselines.
+/// Leases an instance for a call, or rejects. Implemented by `Placement` and by the baselines.
 export interface PlacementPolicy {
-  acquire (need: PlacementRequest, signal: AbortSignal): Promise<InstanceLease>
+  acquire (request: PlacementRequest, signal: AbortSignal): Promise<InstanceLease>
 }
 
-/// Makes an entry's policy over the instances that it knows.
+/// Creates the policy of one entry over that entry's registry of instances.
 export type PolicyFactory = (registry: InstanceRegistry) => PlacementPolicy
 
 export interface EmulationOptions {
   readonly engines: readonly EngineProfile[]
   readonly entries: number
   readonly trace: readonly TracedProgram[]
-  readonly makePolicy: PolicyFactory
+  readonly createPolicy: PolicyFactory
 }
 
-/// What became of the programs of a trace.
+/// How many programs of a trace ended in time, late or not at all.
 export interface EmulationResult {
+  /// Programs that ended within their latency target.
   readonly inAim: number
   readonly late: number
   readonly failed: number
-  /// Worth of what ended in its aim, and a share of what ended late, against all.
+  /// Value of the programs that ended in time, plus a share of the value of late ones, divided by the value of all.
   readonly weightedGoodput: number
 }
 
 const service = 'models'
-const sharedTokens = 12_600
-const patienceMs = 4000
+const sharedPromptTokens = 12_600
+const callerTimeoutMs = 4000
 const targetLatencyMs = 200
-const aimFactor = 1.8
-/// What a program that ends late still earns, and until when.
-const lateShare = 0.1
-const latestFactor = 2
-const turnTries = 3
-const retryAfterMs = 250
-const wayMs = 25
+/// The latency target of a program is its unloaded duration times this, plus `targetLatencyMs`.
+const targetFactor = 1.8
+/// A program that misses its target earns this share of its value, up to `lateCutoffFactor` times the target.
+const lateValueShare = 0.1
+const lateCutoffFactor = 2
+const maxTurnAttempts = 3
+const retryDelayMs = 250
+const networkDelayMs = 25
 
-/// Plays a trace against emulated engines, each entry with a policy of its own
-/// and only its own calls and the engines' answers to go by.
+/// Runs a trace against emulated engines. Each entry has its own policy, which sees only
+/// this entry's calls and the load that the engines report in their responses.
 export class Emulation {
   private readonly engines: ReadonlyMap<string, EmulatedEngine>
   private readonly entries: readonly { readonly policy: PlacementPolicy }[]
 
   constructor (private readonly options: EmulationOptions) {
-    this.engines = new Map(options.engines.map((traits, i) => [`${service}-${i}`, new EmulatedEngine(traits)]))
-    this.entries = Array.from({ length: options.entries }, () => ({ policy: options.makePolicy(this.newRegistry()) }))
+    this.engines = new Map(options.engines.map((profile, i) => [`${service}-${i}`, new EmulatedEngine(profile)]))
+    this.entries = Array.from({ length: options.entries }, () => ({
+      policy: options.createPolicy(this.createRegistry())
+    }))
   }
 
   async run (): Promise<EmulationResult> {
-    const ends = await Promise.all(this.options.trace.map(program => this.playProgram(program)))
+    const programResults = await Promise.all(this.options.trace.map(program => this.runProgram(program)))
     const counts = { inAim: 0, late: 0, failed: 0 }
-    let earned = 0
-    let owed = 0
-    for (const { outcome, worth } of ends) {
+    let earnedValue = 0
+    let totalValue = 0
+    for (const { outcome, value } of programResults) {
       counts[outcome]++
-      owed += worth
-      earned += outcome === 'inAim' ? worth : outcome === 'late' ? worth * lateShare : 0
+      totalValue += value
+      earnedValue += outcome === 'inAim' ? value : outcome === 'late' ? value * lateValueShare : 0
     }
-    return { ...counts, weightedGoodput: earned / owed }
+    return { ...counts, weightedGoodput: earnedValue / totalValue }
   }
 
-  private async playProgram (program: TracedProgram): Promise<{ outcome: 'inAim' | 'late' | 'failed', worth: number }> {
+  private async runProgram (program: TracedProgram): Promise<{ outcome: 'inAim' | 'late' | 'failed', value: number }> {
     await sleep(program.startMs)
     const startedAtMs = performance.now()
-    const aimMs = this.idleMs(program) * aimFactor + targetLatencyMs
-    const before: string[] = []
+    const targetMs = this.estimateUnloadedMs(program) * targetFactor + targetLatencyMs
+    const previousTurnIds: string[] = []
     for (const [i, turn] of program.turns.entries()) {
-      if (!await this.playTurn(program, turn, i, before)) return { outcome: 'failed', worth: program.worth }
-      before.push(`${program.id}/${i}`)
+      if (!await this.runTurn(program, turn, i, previousTurnIds)) return { outcome: 'failed', value: program.value }
+      previousTurnIds.push(`${program.id}/${i}`)
       await sleep(turn.thinkMs)
     }
-    const tookMs = performance.now() - startedAtMs
-    const outcome = tookMs <= aimMs ? 'inAim' : tookMs <= aimMs * latestFactor ? 'late' : 'failed'
-    return { outcome, worth: program.worth }
+    const elapsedMs = performance.now() - startedAtMs
+    const outcome = elapsedMs <= targetMs ? 'inAim' : elapsedMs <= targetMs * lateCutoffFactor ? 'late' : 'failed'
+    return { outcome, value: program.value }
   }
 
-  /// Tries a turn a few times; false where it failed for good.
-  private async playTurn (
+  /// Returns false if all attempts at the turn failed.
+  private async runTurn (
     program: TracedProgram,
     turn: TracedTurn,
     index: number,
-    before: readonly string[]
+    previousTurnIds: readonly string[]
   ): Promise<boolean> {
-    for (let tries = 0; tries < turnTries; tries++) {
-      if (tries > 0) await sleep(retryAfterMs)
-      const call = callOf(program, turn, index, before)
-      const place = await this.placeOf(program, call, index).catch(() => null)
-      if (place === null) continue
-      const isWhole = await this.runAt(place, call, turn)
-      place.release()
-      if (isWhole) return true
+    for (let attempts = 0; attempts < maxTurnAttempts; attempts++) {
+      if (attempts > 0) await sleep(retryDelayMs)
+      const call = createTurnCall(program, turn, index, previousTurnIds)
+      const lease = await this.acquireLease(program, call, index).catch(() => null)
+      if (lease === null) continue
+      const isWithinTimeout = await this.execute(lease, call, turn)
+      lease.release()
+      if (isWithinTimeout) return true
     }
     return false
   }
 
-  private placeOf (program: TracedProgram, call: Call, index: number): Promise<InstanceLease> {
+  private acquireLease (program: TracedProgram, call: Call, index: number): Promise<InstanceLease> {
     const isContinuing = index > 0
     return this.entries[program.entry]!.policy.acquire({
       call,
@@ -113,14 +117,15 @@
       excluded: new Set(),
       previousInstanceId: null,
       isContinuing,
-      maxWaitMs: isContinuing ? patienceMs * 0.25 : targetLatencyMs * 0.1,
-      deadlineMs: performance.now() + patienceMs
+      maxWaitMs: isContinuing ? callerTimeoutMs * 0.25 : targetLatencyMs * 0.1,
+      deadlineMs: performance.now() + callerTimeoutMs
     }, new AbortController().signal)
   }
 
-  private async runAt ({ instance }: InstanceLease, call: Call, turn: TracedTurn): Promise<boolean> {
+  /// Returns whether the call ended within the caller's timeout.
+  private async execute ({ instance }: InstanceLease, call: Call, turn: TracedTurn): Promise<boolean> {
     const sentAtMs = performance.now()
-    await sleep(wayMs)
+    await sleep(networkDelayMs)
     await new Promise<void>(resolve => this.engines.get(instance.description.id)!.run({
       prefix: call.prefix,
       outputTokens: turn.outputTokens,
@@ -130,18 +135,19 @@
       onEnd: resolve
     }))
     recordCachedParts(instance, call.prefix.map(part => part.id))
-    return performance.now() - sentAtMs <= patienceMs
+    return performance.now() - sentAtMs <= callerTimeoutMs
   }
 
-  private idleMs (program: TracedProgram): number {
+  /// Estimates the duration of a program on engines that run nothing else.
+  private estimateUnloadedMs (program: TracedProgram): number {
     const { stepMs, stepMsPerCall, prefillTokensPerMs } = this.options.engines[0]!
     return program.turns.reduce((sum, turn) => {
       const runMs = turn.inputTokens / prefillTokensPerMs + turn.outputTokens * (stepMs + stepMsPerCall)
-      return sum + wayMs + runMs + turn.thinkMs
+      return sum + networkDelayMs + runMs + turn.thinkMs
     }, 0)
   }
 
-  private newRegistry (): InstanceRegistry {
+  private createRegistry (): InstanceRegistry {
     const registry = new InstanceRegistry({
       parseInstance: object => object.spec as Instance['description'],
       connect: () => ({ close: () => {} }) as unknown as Instance['client'],
@@ -156,11 +162,16 @@
   }
 }
 
-function callOf (program: TracedProgram, turn: TracedTurn, index: number, before: readonly string[]): Call {
-  const own = [...before, `${program.id}/${index}`].map(id => ({ id, tokens: turn.inputTokens }))
+function createTurnCall (
+  program: TracedProgram,
+  turn: TracedTurn,
+  index: number,
+  previousTurnIds: readonly string[]
+): Call {
+  const conversation = [...previousTurnIds, `${program.id}/${index}`].map(id => ({ id, tokens: turn.inputTokens }))
   return createCall(`${program.id}/${index}`, {
-    callerTimeoutMs: patienceMs,
-    program: { id: program.id, sessionId: program.id, remainingMs: patienceMs, tokenBudget: null },
-    prefix: [{ id: program.sharedPart, tokens: sharedTokens }, ...own]
+    callerTimeoutMs,
+    program: { id: program.id, sessionId: program.id, remainingMs: callerTimeoutMs, tokenBudget: null },
+    prefix: [{ id: program.sharedPromptId, tokens: sharedPromptTokens }, ...conversation]
   })
 }
--- a/emulator/policy/src/engine.ts
+++ b/emulator/policy/src/engine.ts
@@ -1,82 +1,89 @@
-/// A model engine's traits, as the platform's sheet gives them.
+/// Performance figures of a model engine, as the platform's specification gives them.
 export interface EngineProfile {
   readonly slots: number
   readonly stepMs: number
-  /// What each running call adds to a step.
+  /// Added to a decode step by each running call.
   readonly stepMsPerCall: number
-  /// What each 1,000 tokens of a running call's prompt add to a step.
+  /// Added to a decode step by each 1,000 prompt tokens of the running calls.
   readonly stepMsPerKContext: number
   readonly prefillTokensPerMs: number
-  /// Step times are multiplied with this: instances differ in speed.
-  readonly slowness: number
+  /// Multiplies prefill and decode times, since instances differ in speed.
+  readonly slowdownFactor: number
 }
 
 /// A call at an emulated engine.
 export interface EngineCall {
-  /// The parts of its prompt, outermost first.
+  /// The parts of the prompt, outermost first.
   readonly prefix: readonly { readonly id: string, readonly tokens: number }[]
   readonly outputTokens: number
-  /// With the first token: what runs and waits there then.
+  /// Called with the first output token, with the numbers of calls then running and waiting at the engine.
   onFirstToken (running: number, waiting: number): void
   onEnd (): void
 }
 
-interface Running {
+interface RunningCall {
   readonly call: EngineCall
-  readonly contextK: number
-  prefillLeft: number
-  tokensLeft: number
-  hasBegun: boolean
+  readonly contextKTokens: number
+  prefillTokensLeft: number
+  outputTokensLeft: number
+  hasStarted: boolean
 }
 
-const quantumMs = 5
+const tickMs = 5
 
-/// Batches up to `slots` calls, the rest waits in order of arrival. Time goes in
-/// quanta: prompts are read first, then each running call gets its tokens.
+/// Runs up to `slots` calls as one batch and queues the others in order of arrival. Time advances
+/// in ticks: each tick first prefills prompts, then spends what is left on decoding for all running calls.
 export class EmulatedEngine {
-  private readonly running: Running[] = []
+  private readonly running: RunningCall[] = []
   private readonly waiting: EngineCall[] = []
   private readonly cached = new Set<string>()
   private timer: ReturnType<typeof setInterval> | null = null
 
-  constructor (readonly traits: EngineProfile) {}
+  constructor (readonly profile: EngineProfile) {}
 
   run (call: EngineCall): void {
     this.waiting.push(call)
     this.admit()
-    this.timer ??= setInterval(() => this.advance(), quantumMs)
+    this.timer ??= setInterval(() => this.advance(), tickMs)
   }
 
   private admit (): void {
-    while (this.running.length < this.traits.slots && this.waiting.length > 0) {
+    while (this.running.length < this.profile.slots && this.waiting.length > 0) {
       const call = this.waiting.shift()!
-      const contextK = call.prefix.reduce((sum, part) => sum + part.tokens, 0) / 1000
-      const prefillLeft = this.unread(call)
-      this.running.push({ call, contextK, prefillLeft, tokensLeft: call.outputTokens, hasBegun: false })
+      const contextKTokens = call.prefix.reduce((sum, part) => sum + part.tokens, 0) / 1000
+      const prefillTokensLeft = this.countUncachedTokens(call)
+      this.running.push({
+        call,
+        contextKTokens,
+        prefillTokensLeft,
+        outputTokensLeft: call.outputTokens,
+        hasStarted: false
+      })
     }
   }
 
-  private unread (call: EngineCall): number {
+  private countUncachedTokens (call: EngineCall): number {
     let tokens = 0
-    let isKept = true
+    let isCached = true
     for (const part of call.prefix) {
-      isKept &&= this.cached.has(part.id)
-      if (!isKept) tokens += part.tokens
+      isCached &&= this.cached.has(part.id)
+      if (!isCached) tokens += part.tokens
       this.cached.add(part.id)
     }
     return tokens
   }
 
   private advance (): void {
-    const { prefillTokensPerMs, slowness } = this.traits
-    const decodeMs = quantumMs - this.prefill(quantumMs * prefillTokensPerMs / slowness) / prefillTokensPerMs * slowness
+    const { prefillTokensPerMs, slowdownFactor } = this.profile
+    const decodeMs = tickMs -
+      this.prefill(tickMs * prefillTokensPerMs / slowdownFactor) / prefillTokensPerMs * slowdownFactor
     const tokens = decodeMs / this.stepMs()
     for (const running of [...this.running]) {
-      if (running.prefillLeft > 0) continue
-      if (!running.hasBegun) running.call.onFirstToken(this.running.length, this.waiting.length)
-      running.hasBegun = true
-      running.tokensLeft -= tokens
-      if (running.tokensLeft > 0) continue
+      if (running.prefillTokensLeft > 0) continue
+      if (!running.hasStarted) running.call.onFirstToken(this.running.length, this.waiting.length)
+      running.hasStarted = true
+      running.outputTokensLeft -= tokens
+      if (running.outputTokensLeft > 0) continue
       this.running.splice(this.running.indexOf(running), 1)
       running.call.onEnd()
     }
@@ -87,19 +94,19 @@
   }
 
   private stepMs (): number {
-    const { stepMs, stepMsPerCall, stepMsPerKContext, slowness } = this.traits
-    const contextK = this.running.reduce((sum, running) => sum + running.contextK, 0)
-    return (stepMs + stepMsPerCall * this.running.length + stepMsPerKContext * contextK) * slowness
+    const { stepMs, stepMsPerCall, stepMsPerKContext, slowdownFactor } = this.profile
+    const contextKTokens = this.running.reduce((sum, running) => sum + running.contextKTokens, 0)
+    return (stepMs + stepMsPerCall * this.running.length + stepMsPerKContext * contextKTokens) * slowdownFactor
   }
 
-  /// Reads prompts in order of arrival; returns the tokens that were read.
+  /// Prefills up to `tokens` prompt tokens in order of arrival. Returns how many were prefilled.
   private prefill (tokens: number): number {
-    let left = tokens
+    let remainingTokens = tokens
     for (const running of this.running) {
-      const read = Math.min(left, running.prefillLeft)
-      running.prefillLeft -= read
-      left -= read
+      const prefilledTokens = Math.min(remainingTokens, running.prefillTokensLeft)
+      running.prefillTokensLeft -= prefilledTokens
+      remainingTokens -= prefilledTokens
     }
-    return tokens - left
+    return tokens - remainingTokens
   }
 }
--- a/emulator/policy/src/main.ts
+++ b/emulator/policy/src/main.ts
@@ -1,8 +1,8 @@
 import { comparePolicies } from './compare.js'
 
-const [what, seed = '1'] = process.argv.slice(2)
+const [command, seed = '1'] = process.argv.slice(2)
 
-if (what !== 'policy') {
+if (command !== 'policy') {
   process.stderr.write('usage: npm run bench -- policy [SEED]\n')
   process.exit(2)
 }
--- a/emulator/policy/src/policies.ts
+++ b/emulator/policy/src/policies.ts
@@ -6,36 +6,38 @@
 
 const zone = 'z'
 
-/// The product's policy and plain ones to hold it against.
+/// The system's placement policy and the baselines that it is compared with.
 export const policies: Readonly<Record<string, PolicyFactory>> = {
-  'round robin': registry => new PlainPolicy(registry, takeInTurn()),
-  'least loaded': registry => new PlainPolicy(registry, leastLoaded),
-  'every program begun': registry => beginEveryProgram(new Placement(registry, zone, noopLog)),
-  chosen: registry => new Placement(registry, zone, noopLog)
+  'round robin': registry => new BaselinePolicy(registry, createRoundRobin()),
+  'least loaded': registry => new BaselinePolicy(registry, selectLeastLoaded),
+  'admit every program': registry => admitEveryProgram(new Placement(registry, zone, noopLog)),
+  placement: registry => new Placement(registry, zone, noopLog)
 }
 
-type Choose = (instances: readonly Instance[]) => Instance
+type InstanceSelector = (instances: readonly Instance[]) => Instance
 
-/// Places each call at once, whatever the instances have to do.
-class PlainPolicy implements PlacementPolicy {
-  constructor (private readonly registry: InstanceRegistry, private readonly choose: Choose) {}
+/// Assigns each call to an instance at once, without queueing or admission control.
+class BaselinePolicy implements PlacementPolicy {
+  constructor (private readonly registry: InstanceRegistry, private readonly select: InstanceSelector) {}
 
   acquire ({ service }: Parameters<PlacementPolicy['acquire']>[0]): Promise<InstanceLease> {
-    const instance = this.choose([...this.registry.readyInstances(service)])
+    const instance = this.select([...this.registry.readyInstances(service)])
     instance.running++
     return Promise.resolve({ instance, release: () => { instance.running-- } })
   }
 }
 
-function takeInTurn (): Choose {
+function createRoundRobin (): InstanceSelector {
   let next = 0
   return instances => instances[next++ % instances.length]!
 }
 
-function leastLoaded (instances: readonly Instance[]): Instance {
+function selectLeastLoaded (instances: readonly Instance[]): Instance {
   return instances.reduce((least, instance) => instance.running < least.running ? instance : least)
 }
 
-function beginEveryProgram (placement: Placement): PlacementPolicy {
-  return { acquire: (need, signal) => placement.acquire({ ...need, isContinuing: true, maxWaitMs: Infinity }, signal) }
+function admitEveryProgram (placement: Placement): PlacementPolicy {
+  return {
+    acquire: (request, signal) => placement.acquire({ ...request, isContinuing: true, maxWaitMs: Infinity }, signal)
+  }
 }
--- a/emulator/policy/src/random.ts
+++ b/emulator/policy/src/random.ts
@@ -1,4 +1,4 @@
-/// A seeded source of numbers from 0 to 1 (mulberry32), so that traces repeat.
+/// A seeded generator (mulberry32) of numbers in [0, 1), so that traces are reproducible.
 export function seededRandom (seed: number): () => number {
   let state = seed >>> 0
   return () => {
--- a/emulator/policy/test/policy.test.ts
+++ b/emulator/policy/test/policy.test.ts
@@ -3,27 +3,34 @@
 
 const seed = 3
 
-test('the same seed gives the same result', async () => {
-  const play = (): ReturnType<typeof runScenario> => runScenario(scenarios.calm!, policies.chosen!, seed)
-  expect(await play()).toEqual(await play())
+test('two runs with the same seed give the same result', async () => {
+  const run = (): ReturnType<typeof runScenario> => runScenario(scenarios.calm!, policies.placement!, seed)
+  expect(await run()).toEqual(await run())
 })
 
-test.each(['calm', 'busy'])('on a %s day nobody is refused', async name => {
-  expect((await runScenario(scenarios[name]!, policies.chosen!, seed)).failed).toBe(0)
+test.each(['calm', 'busy'])('no program fails with all engines on a %s day', async name => {
+  expect((await runScenario(scenarios[name]!, policies.placement!, seed)).failed).toBe(0)
 })
 
-test('with half the engines more programs end in their aim than if every one is begun', async () => {
-  const halved = scenarios['half the engines']!
-  const chosen = await runScenario(halved, policies.chosen!, seed)
-  const greedy = await runScenario(halved, policies['every program begun']!, seed)
-  const plain = await runScenario(halved, policies['least loaded']!, seed)
-  expect(chosen.weightedGoodput).toBeGreaterThan(greedy.weightedGoodput)
-  expect(greedy.weightedGoodput).toBeGreaterThan(plain.weightedGoodput)
+test('with half the engines, admission control gives more weighted goodput than admitting every program', async () => {
+  const scenario = scenarios['half the engines']!
+  const withAdmission = await runScenario(scenario, policies.placement!, seed)
+  const withoutAdmission = await runScenario(scenario, policies['admit every program']!, seed)
+  const leastLoaded = await runScenario(scenario, policies['least loaded']!, seed)
+  expect(withAdmission.weightedGoodput).toBeGreaterThan(withoutAdmission.weightedGoodput)
+  expect(withoutAdmission.weightedGoodput).toBeGreaterThan(leastLoaded.weightedGoodput)
 })
 
-test('an engine reads a prompt once, and takes the next call in order of arrival', async () => {
-  const traits = { slots: 1, stepMs: 1, stepMsPerCall: 0, stepMsPerKContext: 0, prefillTokensPerMs: 100, slowness: 1 }
-  const engine = new EmulatedEngine(traits)
+test('an engine prefills a shared prompt once and runs waiting calls in order of arrival', async () => {
+  const profile = {
+    slots: 1,
+    stepMs: 1,
+    stepMsPerCall: 0,
+    stepMsPerKContext: 0,
+    prefillTokensPerMs: 100,
+    slowdownFactor: 1
+  }
+  const engine = new EmulatedEngine(profile)
   const ends: string[] = []
   const startedAtMs = performance.now()
   const run = (name: string): Promise<number> => new Promise(resolve => engine.run({
