--- a/process/cli/src/cli.ts
+++ b/process/cli/src/cli.ts
@@ -3,55 +3,55 @@
 import { SettingsError, parseSettings } from '#process/settings'
 import { formatLine, formatTimeline, findRelatedLines, parseLogLines, buildTimeline } from './lines.js'
 import type { LogLine, TimelineCall } from './lines.js'
-import { timelinePage } from './page.js'
-import { formatReports, readReports } from './report.js'
-import { formatStatus, readStatus } from './status.js'
+import { renderTimelinePage } from './page.js'
+import { formatReports, parseReports } from './report.js'
+import { formatStatuses, fetchStatuses } from './status.js'
 
-/// Where the command line reads and writes; tests give their own.
+/// Input and output of the command line, which tests replace.
 export interface CliIo {
   readonly readInput: () => string
   readonly write: (text: string) => void
-  /// Rejects where the answer isn't a success.
+  /// Rejects if the response status is not a success.
   readonly fetchText: (url: string) => Promise<string>
 }
 
-/// 0 done, 1 found nothing or a fault, 2 wrong words.
+/// 0: success. 1: nothing was found, or a check or request failed. 2: invalid arguments.
 export type ExitCode = 0 | 1 | 2
 
-const wrongWords = 2
+const usageErrorCode = 2
 const defaultAroundMs = 1000
 
-/// Runs one command of `chicorynotch`.
-export async function runCli (words: readonly string[], streams: CliIo): Promise<ExitCode> {
+/// Runs one command of `chicorynotch`. `argv` excludes the program's name.
+export async function runCli (argv: readonly string[], io: CliIo): Promise<ExitCode> {
   let code: ExitCode = 0
-  // The parser calls a command's handler also where it has found a fault in the words.
-  const run = async (work: () => ExitCode | Promise<ExitCode>): Promise<void> => {
-    if (code !== wrongWords) code = await work()
+  // yargs runs a command's handler even after it has reported invalid arguments.
+  const run = async (command: () => ExitCode | Promise<ExitCode>): Promise<void> => {
+    if (code !== usageErrorCode) code = await command()
   }
-  const parser = yargs([...words]).scriptName('chicorynotch').version(false).strict().demandCommand(1, 'a command is needed')
+  const parser = yargs([...argv]).scriptName('chicorynotch').version(false).strict().demandCommand(1, 'a command is required')
     .option('json', { type: 'boolean', default: false, describe: 'print JSON' })
-    .command('check <file>', 'check a settings file whole', builder => builder.positional('file', { type: 'string', demandOption: true }),
-      args => run(() => check(args.file, args.json, streams)))
-    .command('explain <id>', "print a call's or program's way through logs on standard input",
+    .command('check <file>', 'validate a settings file', builder => builder.positional('file', { type: 'string', demandOption: true }),
+      args => run(() => check(args.file, args.json, io)))
+    .command('explain <id>', 'print the log lines of a call or program from logs on standard input',
       builder => builder.positional('id', { type: 'string', demandOption: true })
-        .option('around-ms', { type: 'number', default: defaultAroundMs, describe: 'what the processes believed this long before and after' }),
-      args => run(() => explain(args.id, args.aroundMs, args.json, streams)))
-    .command('timeline <program>', "draw a program's calls over all processes from logs on standard input",
+        .option('around-ms', { type: 'number', default: defaultAroundMs, describe: "include state changes of the call's processes within this time before and after" }),
+      args => run(() => explain(args.id, args.aroundMs, args.json, io)))
+    .command('timeline <program>', "draw a timeline of a program's calls in all processes from logs on standard input",
       builder => builder.positional('program', { type: 'string', demandOption: true })
-        .option('html', { type: 'boolean', default: false, describe: 'print a page with a picture' }),
-      args => run(() => timeline(args.program, args.json, args.html, streams)))
-    .command('status <address...>', 'ask processes on their metrics addresses (HOST:PORT)',
+        .option('html', { type: 'boolean', default: false, describe: 'print an HTML page with a chart' }),
+      args => run(() => timeline(args.program, args.json, args.html, io)))
+    .command('status <address...>', 'query processes at their metrics addresses (HOST:PORT)',
       builder => builder.positional('address', { type: 'string', array: true, demandOption: true }),
-      args => run(() => status(args.address, args.json, streams)))
-    .command('report <file...>', 'show the days of journal entries over time, with what took most from each',
+      args => run(() => status(args.address, args.json, io)))
+    .command('report <file...>', 'list the days of journal entries in order of time, with the largest losses of each',
       builder => builder.positional('file', { type: 'string', array: true, demandOption: true })
-        .option('site', { type: 'string', describe: 'only this site' }),
-      args => run(() => report(args.file, args.site, args.json, streams)))
-    .example('chicorynotch report --site tunda-ops journal/*.json', 'how has the site come on?')
-    .example('chicorynotch explain 9c41d07be2a35f68 < all.log', 'why did this call end as it did?')
+        .option('site', { type: 'string', describe: 'list this site only' }),
+      args => run(() => report(args.file, args.site, args.json, io)))
+    .example('chicorynotch report --site tunda-ops journal/*.json', 'show how the results of a site have developed')
+    .example('chicorynotch explain 9c41d07be2a35f68 < all.log', 'find out why a call ended as it did')
     .fail((message, error) => {
-      if (code !== wrongWords) streams.write(`chicorynotch: ${message ?? error?.message}\n`)
-      code = wrongWords
+      if (code !== usageErrorCode) io.write(`chicorynotch: ${message ?? error?.message}\n`)
+      code = usageErrorCode
     })
     .exitProcess(false)
   await parser.parseAsync()
@@ -61,54 +61,54 @@
 function check (file: string, isJson: boolean, { write }: CliIo): ExitCode {
   try {
     const settings = parseSettings(file, readFileSync(file, 'utf8'))
-    write(isJson ? jsonText(settings) : `${file}: sound, role ${settings.node.role}\n`)
+    write(isJson ? toJsonLine(settings) : `${file}: valid, role ${settings.node.role}\n`)
     return 0
   } catch (error) {
     const faults = error instanceof SettingsError ? error.faults : [String(error)]
-    write(isJson ? jsonText({ file, faults }) : faults.map(fault => `${file}: ${fault}\n`).join(''))
+    write(isJson ? toJsonLine({ file, faults }) : faults.map(fault => `${file}: ${fault}\n`).join(''))
     return 1
   }
 }
 
-async function status (addresses: readonly string[], isJson: boolean, streams: CliIo): Promise<ExitCode> {
-  const statuses = await readStatus(addresses, streams.fetchText)
-  streams.write(isJson ? jsonText(statuses) : `${formatStatus(statuses)}\n`)
+async function status (addresses: readonly string[], isJson: boolean, io: CliIo): Promise<ExitCode> {
+  const statuses = await fetchStatuses(addresses, io.fetchText)
+  io.write(isJson ? toJsonLine(statuses) : `${formatStatuses(statuses)}\n`)
   return statuses.every(({ values }) => values !== null) ? 0 : 1
 }
 
 function report (files: readonly string[], site: string | undefined, isJson: boolean, { write }: CliIo): ExitCode {
-  const reports = readReports(files.map(file => readFileSync(file, 'utf8')))
+  const reports = parseReports(files.map(file => readFileSync(file, 'utf8')))
     .filter(day => site === undefined || day.site === site)
-  return show(reports, isJson, days => `${formatReports(days)}\n`, 'no day was played', write)
+  return writeItems(reports, isJson, days => `${formatReports(days)}\n`, 'no days found', write)
 }
 
 function explain (id: string, aroundMs: number, isJson: boolean, { readInput, write }: CliIo): ExitCode {
   const lines = findRelatedLines(parseLogLines(readInput()), id, aroundMs)
-  const print = (found: readonly LogLine[]): string => found.map(line => `${formatLine(line)}\n`).join('')
-  return show(lines, isJson, print, `no line about ${id}`, write)
+  const format = (found: readonly LogLine[]): string => found.map(line => `${formatLine(line)}\n`).join('')
+  return writeItems(lines, isJson, format, `no log lines of ${id}`, write)
 }
 
-function timeline (programId: string, isJson: boolean, isPage: boolean, { readInput, write }: CliIo): ExitCode {
+function timeline (programId: string, isJson: boolean, isHtml: boolean, { readInput, write }: CliIo): ExitCode {
   const calls = buildTimeline(parseLogLines(readInput()), programId)
-  const draw = (found: readonly TimelineCall[]): string => {
-    return isPage ? timelinePage(programId, found) : `${formatTimeline(found)}\n`
+  const format = (found: readonly TimelineCall[]): string => {
+    return isHtml ? renderTimelinePage(programId, found) : `${formatTimeline(found)}\n`
   }
-  return show(calls, isJson, draw, `no call of ${programId}`, write)
+  return writeItems(calls, isJson, format, `no calls of program ${programId}`, write)
 }
 
-/// Writes what was found; where that is nothing, an empty list as JSON and a sentence otherwise.
-function show<Item> (
-  found: readonly Item[],
+/// Writes the items as JSON or formatted. Without items, writes an empty JSON array or `emptyMessage`.
+function writeItems<Item> (
+  items: readonly Item[],
   isJson: boolean,
   format: (found: readonly Item[]) => string,
-  nothing: string,
+  emptyMessage: string,
   write: CliIo['write']
 ): ExitCode {
-  if (isJson) write(jsonText(found))
-  else write(found.length > 0 ? format(found) : `${nothing}\n`)
-  return found.length > 0 ? 0 : 1
+  if (isJson) write(toJsonLine(items))
+  else write(items.length > 0 ? format(items) : `${emptyMessage}\n`)
+  return items.length > 0 ? 0 : 1
 }
 
-function jsonText (value: unknown): string {
+function toJsonLine (value: unknown): string {
   return `${JSON.stringify(value)}\n`
 }
--- a/process/cli/src/lines.ts
+++ b/process/cli/src/lines.ts
@@ -1,4 +1,4 @@
-/// One event of a process's log.
+/// One event in the log of a process. `fields` excludes those that every line has.
 export interface LogLine {
   readonly timeMs: number
   readonly node: string
@@ -7,27 +7,27 @@
   readonly fields: Readonly<Record<string, unknown>>
 }
 
-const own = new Set(['level', 'time', 'node', 'role', 'event', 'msg'])
+const envelopeFields = new Set(['level', 'time', 'node', 'role', 'event', 'msg'])
 
-/// Reads log lines of several processes, in order of time. What stands before
-/// a line's object is passed over, as is what holds none.
+/// Parses the log lines of several processes and sorts them by time. Skips text before
+/// the JSON object of a line, and lines without one.
 export function parseLogLines (text: string): LogLine[] {
   const lines: LogLine[] = []
   for (const raw of text.split('\n')) {
-    const line = readLine(raw)
+    const line = parseLine(raw)
     if (line !== null) lines.push(line)
   }
   return lines.sort((a, b) => a.timeMs - b.timeMs)
 }
 
-function readLine (raw: string): LogLine | null {
+function parseLine (raw: string): LogLine | null {
   const start = raw.indexOf('{"level"')
   if (start < 0) return null
   let fields: Record<string, unknown>
   try {
     fields = JSON.parse(raw.slice(start))
   } catch {
-    // A line that was cut off, at the end of a killed process's output.
+    // The last line of a killed process may be truncated.
     return null
   }
   return {
@@ -35,20 +35,20 @@
     node: String(fields.node),
     name: String(fields.msg),
     number: Number(fields.event),
-    fields: Object.fromEntries(Object.entries(fields).filter(([name]) => !own.has(name)))
+    fields: Object.fromEntries(Object.entries(fields).filter(([name]) => !envelopeFields.has(name)))
   }
 }
 
-/// The lines of a call or a program, and what the processes that had it
-/// believed otherwise within `aroundMs` of them.
+/// Returns the lines of a call or program, and the state changes of the processes that handled it
+/// from `aroundMs` before its first line to `aroundMs` after its last.
 export function findRelatedLines (lines: readonly LogLine[], id: string, aroundMs: number): LogLine[] {
-  const about = lines.filter(line => mentions(line, id))
-  if (about.length === 0) return []
-  const nodes = new Set(about.map(line => line.node))
-  const from = about[0]!.timeMs - aroundMs
-  const to = about[about.length - 1]!.timeMs + aroundMs
+  const relatedLines = lines.filter(line => mentions(line, id))
+  if (relatedLines.length === 0) return []
+  const nodes = new Set(relatedLines.map(line => line.node))
+  const from = relatedLines[0]!.timeMs - aroundMs
+  const to = relatedLines[relatedLines.length - 1]!.timeMs + aroundMs
   return lines.filter(line => mentions(line, id) ||
-    (nodes.has(line.node) && isBelief(line) && line.timeMs >= from && line.timeMs <= to))
+    (nodes.has(line.node) && isStateChange(line) && line.timeMs >= from && line.timeMs <= to))
 }
 
 function mentions (line: LogLine, id: string): boolean {
@@ -56,8 +56,8 @@
   return callId === id || programId === id || turnId === id || (Array.isArray(ids) && ids.includes(id))
 }
 
-/// Changes of what a process believes have numbers below 500 or from 600 on.
-function isBelief (line: LogLine): boolean {
+/// Events 5xx concern single calls; all others are changes of a process's state.
+function isStateChange (line: LogLine): boolean {
   return line.number < 500 || line.number >= 600
 }
 
@@ -66,7 +66,7 @@
   return `${new Date(line.timeMs).toISOString().slice(11, 23)} ${line.node.padEnd(18)} ${line.name.padEnd(22)} ${fields.join(' ')}`
 }
 
-/// One call of a program on the time line.
+/// One call of a program on a timeline. Times are relative to the start of the program's first call.
 export interface TimelineCall {
   readonly callId: string
   readonly node: string
@@ -75,13 +75,13 @@
   readonly outcome: string
 }
 
-const endings = new Set(['call-finished', 'call-refused', 'call-abandoned', 'answer-broken'])
+const finalEvents = new Set(['call-finished', 'call-refused', 'call-abandoned', 'answer-broken'])
 
-/// The calls of a program over all processes, from its first one on.
+/// Returns the calls of a program in all processes, in order of their start.
 export function buildTimeline (lines: readonly LogLine[], programId: string): TimelineCall[] {
   const calls: TimelineCall[] = []
   for (const line of lines) {
-    if (line.fields.programId !== programId || !endings.has(line.name)) continue
+    if (line.fields.programId !== programId || !finalEvents.has(line.name)) continue
     const durationMs = Number(line.fields.durationMs ?? 0)
     const outcome = line.name === 'call-finished' ? String(line.fields.status) : `${line.name} ${String(line.fields.refusal ?? line.fields.reason)}`
     calls.push({
@@ -92,8 +92,8 @@
       outcome
     })
   }
-  const first = Math.min(...calls.map(call => call.startMs))
-  return calls.map(call => ({ ...call, startMs: call.startMs - first, endMs: call.endMs - first }))
+  const firstStartMs = Math.min(...calls.map(call => call.startMs))
+  return calls.map(call => ({ ...call, startMs: call.startMs - firstStartMs, endMs: call.endMs - firstStartMs }))
     .sort((a, b) => a.startMs - b.startMs)
 }
 
--- a/process/cli/src/main.ts
+++ b/process/cli/src/main.ts
@@ -1,21 +1,21 @@
 import { readFileSync } from 'node:fs'
 import { runCli } from './cli.js'
 
-const standardInput = 0
+const stdinDescriptor = 0
 const fetchTimeoutMs = 2000
 
-// Whoever reads the output may stop early, as `head` does.
+// The reader may close the pipe early, as `head` does.
 process.stdout.on('error', (error: NodeJS.ErrnoException) => {
   if (error.code !== 'EPIPE') throw error
   process.exit()
 })
 
 runCli(process.argv.slice(2), {
-  readInput: () => readFileSync(standardInput, 'utf8'),
+  readInput: () => readFileSync(stdinDescriptor, 'utf8'),
   fetchText: async url => {
-    const answer = await fetch(url, { signal: AbortSignal.timeout(fetchTimeoutMs) })
-    if (!answer.ok) throw new Error(`status ${answer.status}`)
-    return await answer.text()
+    const response = await fetch(url, { signal: AbortSignal.timeout(fetchTimeoutMs) })
+    if (!response.ok) throw new Error(`HTTP status ${response.status}`)
+    return await response.text()
   },
   write: text => { process.stdout.write(text) }
 }).then(code => { process.exitCode = code }, (error: unknown) => {
--- a/process/cli/src/report.ts
+++ b/process/cli/src/report.ts
@@ -1,4 +1,4 @@
-/// One day that was played, as a journal entry tells of it.
+/// The results of one simulated day, as a journal entry records them.
 export interface DayReport {
   readonly playedAt: string
   readonly command: string
@@ -9,19 +9,19 @@
   readonly served: number
   readonly brokenRules: readonly string[]
   readonly passedGate: boolean
-  /// What took most from the worth, largest first.
+  /// The causes that reduced the worth most, largest first.
   readonly prices: readonly { readonly what: string, readonly worth: number }[]
 }
 
-const shownPrices = 3
+const maxPrices = 3
 const barWidth = 30
 
-/// Reads journal entries in order of time. Rejects text that is none.
-export function readReports (entries: readonly string[]): DayReport[] {
-  return entries.flatMap(readEntry).sort((a, b) => a.playedAt.localeCompare(b.playedAt))
+/// Parses journal entries and returns their days in order of time. Throws on text that is not JSON.
+export function parseReports (entries: readonly string[]): DayReport[] {
+  return entries.flatMap(parseEntry).sort((a, b) => a.playedAt.localeCompare(b.playedAt))
 }
 
-function readEntry (text: string): DayReport[] {
+function parseEntry (text: string): DayReport[] {
   const entry = JSON.parse(text) as JournalEntry
   return (entry.days ?? []).map(day => ({
     playedAt: entry.at[0],
@@ -33,12 +33,12 @@
     served: day.served ?? 0,
     brokenRules: Object.keys(day.rules ?? {}),
     passedGate: day.gate ?? false,
-    prices: [...day.prices ?? []].sort((a, b) => b[2] - a[2]).slice(0, shownPrices)
+    prices: [...day.prices ?? []].sort((a, b) => b[2] - a[2]).slice(0, maxPrices)
       .map(([what, , worth]) => ({ what, worth }))
   }))
 }
 
-/// The fields of a journal entry that are read; `G` is a day's worth.
+/// The fields of a journal entry that the report uses. `G` is the worth of a day.
 interface JournalEntry {
   readonly at: readonly [string, string]
   readonly cmd: string
@@ -54,7 +54,7 @@
   }[]
 }
 
-/// A line for each day, with a bar as long as its worth.
+/// Formats one line per day, with a bar proportional to its worth.
 export function formatReports (reports: readonly DayReport[]): string {
   return reports.map(({ playedAt, site, day, score, worth, brokenRules, passedGate, prices }) => {
     const bar = '#'.repeat(Math.round(Math.min(Math.max(worth, 0), 1) * barWidth)).padEnd(barWidth)
--- a/process/cli/src/status.ts
+++ b/process/cli/src/status.ts
@@ -1,15 +1,15 @@
-/// What one process says of itself on its metrics address.
+/// The metrics of one process, read from its metrics address.
 export interface ProcessStatus {
   readonly address: string
-  /// Null where it didn't answer, with the reason beside.
+  /// Null if the request failed; `reason` then says why, and is empty otherwise.
   readonly values: Readonly<Record<string, number>> | null
   readonly reason: string
 }
 
 const prefix = 'chicorynotch_'
 
-/// Reads the text exposition format: a name with its labels, a space, a number.
-export function readMetrics (text: string): Record<string, number> {
+/// Parses the Prometheus text format: on each line a name with its labels, a space and a number.
+export function parseMetrics (text: string): Record<string, number> {
   const values: Record<string, number> = {}
   for (const line of text.split('\n')) {
     const space = line.lastIndexOf(' ')
@@ -20,24 +20,24 @@
   return values
 }
 
-/// Asks all processes at once.
-export async function readStatus (
+/// Queries all processes concurrently.
+export async function fetchStatuses (
   addresses: readonly string[],
   fetchText: (url: string) => Promise<string>
 ): Promise<ProcessStatus[]> {
   return await Promise.all(addresses.map(async address => {
     try {
-      return { address, values: readMetrics(await fetchText(`http://${address}/metrics`)), reason: '' }
+      return { address, values: parseMetrics(await fetchText(`http://${address}/metrics`)), reason: '' }
     } catch (error) {
       return { address, values: null, reason: error instanceof Error ? error.message : String(error) }
     }
   }))
 }
 
-/// A line for each process: what is under way, then refusals and latencies.
-export function formatStatus (statuses: readonly ProcessStatus[]): string {
+/// Formats one line per process with all of its metrics but the sample counts of latencies.
+export function formatStatuses (statuses: readonly ProcessStatus[]): string {
   return statuses.map(({ address, values, reason }) => {
-    if (values === null) return `${address} no answer: ${reason}`
+    if (values === null) return `${address} no response: ${reason}`
     const shown = Object.entries(values).filter(([name]) => !name.endsWith('_count'))
     return `${address} ${shown.map(([name, value]) => `${name}=${value}`).join(' ')}`
   }).join('\n')
--- a/process/cli/test/cli.test.ts
+++ b/process/cli/test/cli.test.ts
@@ -17,7 +17,7 @@
 const metrics = '# a comment\nchicorynotch_calls_under_way 3\nchicorynotch_answers_total{status="200"} 41\nchicorynotch_call_ms_count 41\n'
 
 async function fetchText (url: string): Promise<string> {
-  if (!url.startsWith('http://up:1/')) throw new Error('nobody listens')
+  if (!url.startsWith('http://up:1/')) throw new Error('connection refused')
   return metrics
 }
 
@@ -28,26 +28,26 @@
   days: [{ name: 'd', G: worth, score: 0.5, served: 1, rules, gate: true, prices: [['disk', 1, 0.01], ['processor', 9, 0.02]] }]
 })
 
-async function run (...words: string[]): Promise<{ code: number, output: string }> {
+async function run (...args: string[]): Promise<{ code: number, output: string }> {
   let output = ''
-  const code = await runCli(words, { readInput: () => log, write: text => { output += text }, fetchText })
+  const code = await runCli(args, { readInput: () => log, write: text => { output += text }, fetchText })
   return { code, output }
 }
 
-test('explain: a call\'s lines and what its process believed meanwhile', async () => {
+test('explain prints the lines of a call and the state changes of its process meanwhile', async () => {
   const { code, output } = await run('explain', 'c1', '--json')
   expect(code).toBe(0)
   expect(JSON.parse(output).map((line: { name: string, node: string }) => `${line.node} ${line.name}`))
     .toEqual(['e1 call-dispatched', 'e1 member-lost', 'e1 quorum-missed', 'e1 call-refused'])
 })
 
-test('timeline: a program\'s calls over all processes', async () => {
+test('timeline draws the calls of a program in all processes', async () => {
   const { output } = await run('timeline', 'p')
   expect(output.split('\n').filter(line => line !== '').map(line => line.split(' ')[0])).toEqual(['c1', 'c2'])
   expect(output).toContain('call-refused ledger-unavailable')
 })
 
-test('timeline: a page that needs nothing else, with a bar for each call', async () => {
+test('timeline --html prints a self-contained page with a bar for each call', async () => {
   const { code, output } = await run('timeline', 'p', '--html')
   expect(code).toBe(0)
   expect(output.match(/<rect /g)).toHaveLength(2)
@@ -60,11 +60,11 @@
   [['dance'], 2],
   [[], 2],
   [['check', '/nonexistent'], 1]
-])('exit code of %j is %i', async (words, code) => {
-  expect((await run(...words)).code).toBe(code)
+])('exit code of %j is %i', async (args, code) => {
+  expect((await run(...args)).code).toBe(code)
 })
 
-const sound = `[node]
+const validSettings = `[node]
 name = "e1"
 role = "entry"
 zone = "z"
@@ -86,28 +86,28 @@
 `
 
 test.each([
-  ['sound', sound, 0, 'sound, role entry'],
-  ['an unknown key', sound.replace('zone =', 'zoen ='), 1, 'node.zoen: unknown key'],
-  ['a wrong type', sound.replace('8000', '"long"'), 1, 'timing.stop_grace_ms: found "long": expected number'],
-  ['a role that is none', sound.replace('"entry"', '"king"'), 1, 'node.role: found "king": expected one of entry, sidecar, storage'],
-  ['what the role needs', sound.replace('callers = "127.0.0.1:80"\n', ''), 1, 'listen.callers: an entry needs an address'],
-  ['no TOML', '[node', 1, '']
+  ['sound', validSettings, 0, 'valid, role entry'],
+  ['an unknown key', validSettings.replace('zone =', 'zoen ='), 1, 'node.zoen: unknown key'],
+  ['a wrong type', validSettings.replace('8000', '"long"'), 1, 'timing.stop_grace_ms: found "long": expected number'],
+  ['an unknown role', validSettings.replace('"entry"', '"king"'), 1, 'node.role: found "king": expected one of entry, sidecar, storage'],
+  ['a missing key that the role requires', validSettings.replace('callers = "127.0.0.1:80"\n', ''), 1, 'listen.callers: an entry needs an address'],
+  ['invalid TOML', '[node', 1, '']
 ])('check: %s', async (_, text, code, expected) => {
   const folder = mkdtempSync(join(tmpdir(), 'cli-'))
   writeFileSync(join(folder, 's.toml'), text)
-  const seen = await run('check', join(folder, 's.toml'))
+  const result = await run('check', join(folder, 's.toml'))
   rmSync(folder, { recursive: true })
-  expect(seen.code).toBe(code)
-  expect(seen.output).toContain(expected)
+  expect(result.code).toBe(code)
+  expect(result.output).toContain(expected)
 })
 
-test('status: what each process says, and exit code 1 where one is silent', async () => {
+test('status prints the metrics of each process and returns 1 if one does not respond', async () => {
   const { code, output } = await run('status', 'up:1', 'gone:1')
   expect(code).toBe(1)
-  expect(output).toBe('up:1 calls_under_way=3 answers_total{status="200"}=41\ngone:1 no answer: nobody listens\n')
+  expect(output).toBe('up:1 calls_under_way=3 answers_total{status="200"}=41\ngone:1 no response: connection refused\n')
 })
 
-test('report: days in order of time, rules and largest prices', async () => {
+test('report lists days in order of time with broken rules and largest losses', async () => {
   const folder = mkdtempSync(join(tmpdir(), 'cli-'))
   const files = [entry('2026-02', 'a', 0.5, {}), entry('2026-01', 'a', -0.1, { MIXED: 8 }), entry('2026-03', 'b', 1, {})].map((text, i) => {
     const file = join(folder, `${i}.json`)
@@ -123,9 +123,9 @@
   expect(lines).toHaveLength(2)
 })
 
-// The parser ran the command all the same, and a call id that is undefined stands in most lines.
-test.each([['explain'], ['timeline'], ['status'], ['report'], ['explain', '--dance', 'c1']])('wrong words run no command: %s %s', async (...words) => {
-  const { code, output } = await run(...words.filter(word => word !== undefined))
+// yargs ran the handler despite invalid arguments, and the undefined id matched every line without a call id.
+test.each([['explain'], ['timeline'], ['status'], ['report'], ['explain', '--dance', 'c1']])('invalid arguments run no command: %s %s', async (...args) => {
+  const { code, output } = await run(...args.filter(arg => arg !== undefined))
   expect(code).toBe(2)
   expect(output.split('\n')).toHaveLength(2)
 })
