--- a/standin/call/src/call.ts
+++ b/standin/call/src/call.ts
@@ -1,8 +1,8 @@
 import type { Call } from '#request/call'
 
-const patienceMs = 4000
+const callerTimeoutMs = 4000
 
-/// A call that just came, with nothing that only some calls have.
+/// Builds a call that was received now. Optional fields are empty unless `fields` sets them.
 export function createCall (id: string, fields: Partial<Call> = {}): Call {
   return {
     id,
@@ -10,7 +10,7 @@
     path: '/',
     host: 'h',
     forwardedHeaders: [],
-    callerTimeoutMs: patienceMs,
+    callerTimeoutMs,
     receivedAtMs: performance.now(),
     program: null,
     previousTurnId: null,
--- a/standin/store/src/store.ts
+++ b/standin/store/src/store.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 
-/// An object as the platform's store holds it.
+/// An object in the JSON form of the platform's store.
 interface StandinObject {
   metadata: { name: string, revision: number, created_rev: number, finalizers: string[], deletion_pending: boolean }
   spec: unknown
@@ -16,30 +16,32 @@
   readonly deleted: boolean
 }
 
-interface Waiter {
+/// A long poll that ends with the next change of its kind, or without events when `timer` fires.
+interface PendingWatch {
   readonly kind: string
   readonly from: number
   readonly response: ServerResponse
   readonly timer: ReturnType<typeof setTimeout>
 }
 
-/// What the store does to calls, for tests of its outages.
+/// Faults that the store injects, to test how clients handle its outages. With `answerLost`, a write takes
+/// effect but the connection is reset instead of a response.
 export const StoreFault = { none: 'none', busy: 'busy', silent: 'silent', reset: 'reset', answerLost: 'answer-lost' } as const
 
 export type StoreFault = typeof StoreFault[keyof typeof StoreFault]
 
 const pageSize = 50
 
-/// A small stand-in for the platform's metadata store, after the platform's
-/// published protocol: lists with pages, watches, conditional writes.
+/// Emulates the platform's metadata store with the parts of its published protocol that are used here:
+/// paged lists, watches and conditional writes.
 export class StandinStore {
   fault: StoreFault = StoreFault.none
   requestCount = 0
   private revision = 1
   private readonly kinds = new Map<string, Map<string, StandinObject>>()
   private history: Change[] = []
-  private forgottenUpTo = 0
-  private waiters: Waiter[] = []
+  private compactedRevision = 0
+  private pendingWatches: PendingWatch[] = []
   private server: Server | null = null
 
   async listen (): Promise<string> {
@@ -55,44 +57,44 @@
     this.server?.closeAllConnections()
   }
 
-  /// Writes an object as the operator or an instance would.
+  /// Creates or replaces an object, as the operator or an instance would. Returns the new revision.
   put (kind: string, name: string, spec: unknown): number {
-    const objects = this.objectsOf(kind)
-    const before = objects.get(name)
+    const objects = this.getObjects(kind)
+    const previous = objects.get(name)
     this.revision++
     const metadata = {
       name,
       revision: this.revision,
-      created_rev: before?.metadata.created_rev ?? this.revision,
+      created_rev: previous?.metadata.created_rev ?? this.revision,
       finalizers: [],
       deletion_pending: false
     }
-    const object = { metadata, spec, status: before?.status ?? null }
+    const object = { metadata, spec, status: previous?.status ?? null }
     objects.set(name, object)
-    this.tell({ kind, revision: this.revision, object, deleted: false })
+    this.publish({ kind, revision: this.revision, object, deleted: false })
     return this.revision
   }
 
   get (kind: string, name: string): { spec: unknown, status: unknown } | undefined {
-    return this.objectsOf(kind).get(name)
+    return this.getObjects(kind).get(name)
   }
 
   remove (kind: string, name: string): void {
-    const object = this.objectsOf(kind).get(name)
+    const object = this.getObjects(kind).get(name)
     if (object === undefined) return
-    this.objectsOf(kind).delete(name)
+    this.getObjects(kind).delete(name)
     this.revision++
-    const gone = { ...object, metadata: { ...object.metadata, revision: this.revision } }
-    this.tell({ kind, revision: this.revision, object: gone, deleted: true })
+    const deletedObject = { ...object, metadata: { ...object.metadata, revision: this.revision } }
+    this.publish({ kind, revision: this.revision, object: deletedObject, deleted: true })
   }
 
-  /// Drops the history and cuts the watches.
+  /// Discards the change history, after which watches from older revisions get status 410, and closes pending watches.
   compactHistory (): void {
     this.history = []
-    this.forgottenUpTo = this.revision
-    for (const waiter of this.waiters.splice(0)) {
-      clearTimeout(waiter.timer)
-      waiter.response.destroy()
+    this.compactedRevision = this.revision
+    for (const pending of this.pendingWatches.splice(0)) {
+      clearTimeout(pending.timer)
+      pending.response.destroy()
     }
   }
 
@@ -104,36 +106,37 @@
       request.socket.resetAndDestroy()
       return
     }
-    if (fault === StoreFault.busy) return send(response, 503, {})
+    if (fault === StoreFault.busy) return sendJson(response, 503, {})
     const body = await readJson(request)
     const url = new URL(request.url ?? '/', 'http://store')
-    const [, , kind = '', name, part] = url.pathname.split('/').map(decodeURIComponent)
-    const [status, answer] = this.execute(request.method ?? 'GET', kind, name, part, url.searchParams, body, response)
+    const [, , kind = '', name, subresource] = url.pathname.split('/').map(decodeURIComponent)
+    const [status, responseBody] = this.execute(request.method ?? 'GET', kind, name, subresource, url.searchParams, body, response)
     if (status === 0) return
     if (fault === StoreFault.answerLost && request.method !== 'GET') request.socket.resetAndDestroy()
-    else send(response, status, answer)
+    else sendJson(response, status, responseBody)
   }
 
+  /// Returns the status and body of the response; status 0 if a watch sends the response later.
   private execute (
-    method: string, kind: string, name: string | undefined, part: string | undefined,
+    method: string, kind: string, name: string | undefined, subresource: string | undefined,
     query: URLSearchParams, body: Partial<StandinObject>, response: ServerResponse
   ): [number, unknown] {
     if (method === 'GET' && name === undefined) {
       return query.has('watch') ? this.watch(kind, query, response) : this.list(kind, query.get('after') ?? '')
     }
-    const objects = this.objectsOf(kind)
+    const objects = this.getObjects(kind)
     if (method === 'POST') {
-      const created = body.metadata!.name
-      if (objects.has(created)) return [409, objects.get(created)]
-      this.put(kind, created, body.spec)
-      return [200, objects.get(created)]
+      const createdName = body.metadata!.name
+      if (objects.has(createdName)) return [409, objects.get(createdName)]
+      this.put(kind, createdName, body.spec)
+      return [200, objects.get(createdName)]
     }
     const object = objects.get(name!)
     if (object === undefined) return [404, {}]
     if (method === 'GET') return [200, object]
     const expected = body.metadata?.revision
     if (expected !== undefined && expected !== object.metadata.revision) return [409, object]
-    this.replace(kind, object, part === 'status' ? { status: body.status } : { spec: body.spec })
+    this.replace(kind, object, subresource === 'status' ? { status: body.status } : { spec: body.spec })
     return [200, objects.get(name!)]
   }
 
@@ -142,24 +145,24 @@
     if (JSON.stringify(next) === JSON.stringify(object)) return
     this.revision++
     next.metadata = { ...object.metadata, revision: this.revision }
-    this.objectsOf(kind).set(object.metadata.name, next)
-    this.tell({ kind, revision: this.revision, object: next, deleted: false })
+    this.getObjects(kind).set(object.metadata.name, next)
+    this.publish({ kind, revision: this.revision, object: next, deleted: false })
   }
 
   private list (kind: string, after: string): [number, unknown] {
-    const names = [...this.objectsOf(kind).keys()].sort().filter(name => name > after)
-    const items = names.slice(0, pageSize).map(name => this.objectsOf(kind).get(name))
+    const names = [...this.getObjects(kind).keys()].sort().filter(name => name > after)
+    const items = names.slice(0, pageSize).map(name => this.getObjects(kind).get(name))
     return [200, { items, has_more: names.length > pageSize, at: this.revision }]
   }
 
   private watch (kind: string, query: URLSearchParams, response: ServerResponse): [number, unknown] {
     const from = Number(query.get('watch'))
-    if (from < this.forgottenUpTo) return [410, {}]
+    if (from < this.compactedRevision) return [410, {}]
     const events = this.eventsAfter(kind, from)
     if (events.length > 0) return [200, { events, at: this.revision }]
-    const timer = setTimeout(() => this.answerWaiter(waiter), Number(query.get('wait_ms') ?? 0))
-    const waiter = { kind, from, response, timer }
-    this.waiters.push(waiter)
+    const timer = setTimeout(() => this.completeWatch(pending), Number(query.get('wait_ms') ?? 0))
+    const pending = { kind, from, response, timer }
+    this.pendingWatches.push(pending)
     return [0, null]
   }
 
@@ -168,25 +171,25 @@
       .map(({ object, deleted }) => ({ object, deleted }))
   }
 
-  private tell (change: Change): void {
+  private publish (change: Change): void {
     this.history.push(change)
-    for (const waiter of [...this.waiters]) if (waiter.kind === change.kind) this.answerWaiter(waiter)
+    for (const pending of [...this.pendingWatches]) if (pending.kind === change.kind) this.completeWatch(pending)
   }
 
-  private answerWaiter (waiter: Waiter): void {
-    clearTimeout(waiter.timer)
-    this.waiters = this.waiters.filter(other => other !== waiter)
-    send(waiter.response, 200, { events: this.eventsAfter(waiter.kind, waiter.from), at: this.revision })
+  private completeWatch (pending: PendingWatch): void {
+    clearTimeout(pending.timer)
+    this.pendingWatches = this.pendingWatches.filter(other => other !== pending)
+    sendJson(pending.response, 200, { events: this.eventsAfter(pending.kind, pending.from), at: this.revision })
   }
 
-  private objectsOf (kind: string): Map<string, StandinObject> {
+  private getObjects (kind: string): Map<string, StandinObject> {
     let objects = this.kinds.get(kind)
     if (objects === undefined) this.kinds.set(kind, objects = new Map())
     return objects
   }
 }
 
-function send (response: ServerResponse, status: number, body: unknown): void {
+function sendJson (response: ServerResponse, status: number, body: unknown): void {
   response.writeHead(status, { 'content-type': 'application/json' }).end(JSON.stringify(body))
 }
 
--- a/standin/system/src/ports.ts
+++ b/standin/system/src/ports.ts
@@ -1,14 +1,14 @@
 import { createServer } from 'node:net'
 
-/// Below the ports that systems hand to outgoing connections (32768 on): one of
-/// those may be taken between the moment it was found free and its use.
+/// The range lies below the ephemeral ports (32768 and up): an outgoing connection could take
+/// an ephemeral port between the check that it is free and its use.
 const lowestPort = 12_000
 const highestPort = 32_000
 
-/// Where the next search begins; by process, so that two at once seldom meet.
+/// Start of the next search. Derived from the process id, so that concurrent processes rarely try the same ports.
 let nextPort = lowestPort + (process.pid * 97) % (highestPort - lowestPort)
 
-/// Finds ports of 127.0.0.1 that nobody listens on, none of them twice in one process.
+/// Finds ports on which nothing listens at 127.0.0.1. Does not return a port twice in one process.
 export async function findFreePorts (count: number): Promise<number[]> {
   const ports: number[] = []
   while (ports.length < count) {
--- a/standin/system/src/system.ts
+++ b/standin/system/src/system.ts
@@ -8,29 +8,31 @@
 import { StandinUpstream } from '#standin/upstream'
 import { findFreePorts } from './ports.js'
 
-/// The whole system as real processes on loopback, before stand-ins.
+/// How many processes and stand-ins a system has, and how its processes are started.
 export interface SystemOptions {
-  /// The daemon's command, as words.
+  /// Program and arguments that start the daemon.
   readonly command: readonly string[]
   readonly entries: number
   readonly storages: number
   readonly engines: number
   readonly services: number
+  /// Inserted before the arguments of `command`, for the Node.js runtime.
   readonly nodeArguments?: readonly string[]
 }
 
-/// One process of the system.
+/// One process of the system. Addresses are HOST:PORT.
 export interface SystemNode {
   readonly name: string
   readonly role: 'entry' | 'storage'
-  readonly callers: string
-  readonly readiness: string
+  readonly callerAddress: string
+  readonly readinessAddress: string
   readonly dataDir: string
   readonly zone: string
   readonly peerPort: number
   readonly metricsPort: number
   process: ChildProcess
-  readonly lines: string[]
+  /// Lines of standard output and standard error, also of earlier runs.
+  readonly outputLines: string[]
 }
 
 const zones = ['north', 'south', 'east']
@@ -39,7 +41,7 @@
 
 export const tokensPerEvent = 10
 
-/// Starts and stops the processes of one system.
+/// The whole system as real processes on loopback, with stand-ins for the store and the upstream instances.
 export class StandinSystem {
   readonly store = new StandinStore()
   readonly engines: StandinUpstream[] = []
@@ -71,65 +73,65 @@
     return this.nodes.filter(node => node.role === 'storage')
   }
 
-  /// Kills a process and starts it again, with an empty disk where that is asked for.
+  /// Ends a process with `signal` and starts it again, with an empty data folder if `losesDisk`.
   async restart (node: SystemNode, signal: 'SIGKILL' | 'SIGTERM', losesDisk: boolean): Promise<void> {
-    await end(node.process, signal)
+    await terminate(node.process, signal)
     if (losesDisk) await rm(node.dataDir, { recursive: true, force: true })
     await this.writeSettings(node)
     node.process = this.launch(node)
   }
 
   async stop (): Promise<void> {
-    await Promise.all(this.nodes.map(node => end(node.process, 'SIGKILL')))
+    await Promise.all(this.nodes.map(node => terminate(node.process, 'SIGKILL')))
     this.store.close()
     for (const upstream of [...this.engines, ...this.services]) upstream.close()
     await rm(this.folder, { recursive: true, force: true })
   }
 
   async waitUntilReady (): Promise<void> {
-    const endsAtMs = performance.now() + startTimeoutMs
-    for (const { readiness, name, lines } of this.entries) {
-      while (!await isReady(readiness)) {
-        if (performance.now() > endsAtMs) throw new Error(`${name} did not become ready:\n${lines.join('\n')}`)
+    const deadlineMs = performance.now() + startTimeoutMs
+    for (const { readinessAddress, name, outputLines } of this.entries) {
+      while (!await isReady(readinessAddress)) {
+        if (performance.now() > deadlineMs) throw new Error(`${name} did not become ready in time:\n${outputLines.join('\n')}`)
         await sleep(50)
       }
     }
     while (this.countServingMembers() < this.options.storages) {
-      if (performance.now() > endsAtMs) throw new Error('the storage instances did not join')
+      if (performance.now() > deadlineMs) throw new Error('too few storage instances reached the state serving in time')
       await sleep(50)
     }
   }
 
-  /// Storage members that hold everything, as the store's view says.
+  /// Counts the storage members that have a complete copy of the data, according to the view in the store.
   countServingMembers (): number {
     const view = this.store.get('chicorynotch-storage-views', 'current')?.spec as { members: { state: string }[] } | undefined
     return view?.members.filter(member => member.state === 'serving').length ?? 0
   }
 
-  private async addUpstream (service: 'models' | 'tools', number: number, events: number): Promise<void> {
-    const id = `${service}-${number}`
+  private async addUpstream (service: 'models' | 'tools', index: number, events: number): Promise<void> {
+    const id = `${service}-${index}`
     const upstream = new StandinUpstream({ id, eventCount: events, firstByteDelayMs: 8, eventIntervalMs: 4 })
     const address = await upstream.listen();
     (service === 'models' ? this.engines : this.services).push(upstream)
-    const zone = zones[number % zones.length]!
+    const zone = zones[index % zones.length]!
     this.store.put('servers', id, { service, address, zone, version: 'v1', slots: 32, state: 'ready', cold_remaining_ms: 0, seq: 1 })
   }
 
-  private async addNode (role: SystemNode['role'], number: number): Promise<void> {
-    const name = `${role}-${number}`
-    const [callers, readiness, peer, metrics] = await findFreePorts(4)
+  private async addNode (role: SystemNode['role'], index: number): Promise<void> {
+    const name = `${role}-${index}`
+    const [callerPort, readinessPort, peerPort, metricsPort] = await findFreePorts(4)
     const dataDir = join(this.folder, name, 'data')
     await mkdir(join(this.folder, name))
     const node = {
       name,
       role,
-      callers: `127.0.0.1:${callers}`,
-      readiness: `127.0.0.1:${readiness}`,
+      callerAddress: `127.0.0.1:${callerPort}`,
+      readinessAddress: `127.0.0.1:${readinessPort}`,
       dataDir,
-      peerPort: peer!,
-      metricsPort: metrics!,
-      zone: zones[number % zones.length]!,
-      lines: [] as string[],
+      peerPort: peerPort!,
+      metricsPort: metricsPort!,
+      zone: zones[index % zones.length]!,
+      outputLines: [] as string[],
       process: null as unknown as ChildProcess
     }
     await this.writeSettings(node)
@@ -138,7 +140,7 @@
   }
 
   private async writeSettings (node: SystemNode): Promise<void> {
-    await writeFile(this.settingsFile(node), `[node]
+    await writeFile(this.settingsPath(node), `[node]
 name = "${node.name}"
 role = "${node.role}"
 zone = "${node.zone}"
@@ -146,8 +148,8 @@
 first_start = ${this.isFirstStart}
 tolerated_losses = 1
 [listen]
-callers = "${node.callers}"
-readiness = "${node.readiness}"
+callers = "${node.callerAddress}"
+readiness = "${node.readinessAddress}"
 readiness_path = "/readyz"
 peer_port = ${node.peerPort}
 metrics_port = ${node.metricsPort}
@@ -165,23 +167,23 @@
   }
 
   private launch (node: SystemNode): ChildProcess {
-    const [program, ...words] = this.options.command
-    const child = spawn(program!, [...this.options.nodeArguments ?? [], ...words], {
-      env: { ...process.env, CHICORYNOTCH_CONFIG: this.settingsFile(node) },
+    const [program, ...args] = this.options.command
+    const child = spawn(program!, [...this.options.nodeArguments ?? [], ...args], {
+      env: { ...process.env, CHICORYNOTCH_CONFIG: this.settingsPath(node) },
       stdio: ['ignore', 'pipe', 'pipe']
     })
-    const keep = (text: Buffer): void => { node.lines.push(...text.toString('utf8').split('\n').filter(line => line !== '')) }
-    child.stdout!.on('data', keep)
-    child.stderr!.on('data', keep)
+    const collect = (text: Buffer): void => { node.outputLines.push(...text.toString('utf8').split('\n').filter(line => line !== '')) }
+    child.stdout!.on('data', collect)
+    child.stderr!.on('data', collect)
     return child
   }
 
-  private settingsFile (node: SystemNode): string {
+  private settingsPath (node: SystemNode): string {
     return join(this.folder, node.name, 'settings.toml')
   }
 }
 
-/// The operator's configuration before the stand-ins.
+/// Builds the operator's configuration for the stand-in upstream instances.
 export function createConfiguration (version: number): unknown {
   const turn = { hostname: 'demo.example', route_kind: 'streaming', timeout_ms: 4000, target_latency_ms: 250, service: 'models', max_attempts: 2, retention_s: 60, sticky: true, target_gap_ms: 200 }
   const tool = { hostname: 'demo.example', timeout_ms: 1500, target_latency_ms: 100, priority: 2, service: 'tools' }
@@ -209,7 +211,7 @@
   }
 }
 
-function end (child: ChildProcess, signal: 'SIGKILL' | 'SIGTERM'): Promise<void> {
+function terminate (child: ChildProcess, signal: 'SIGKILL' | 'SIGTERM'): Promise<void> {
   return new Promise(resolve => {
     if (child.exitCode !== null || child.signalCode !== null) return resolve()
     child.once('exit', () => resolve())
--- a/standin/upstream/src/upstream.ts
+++ b/standin/upstream/src/upstream.ts
@@ -3,22 +3,22 @@
 import type { AddressInfo, Socket } from 'node:net'
 import { sleep } from '#process/clock'
 
-/// What an instance does to the requests that it gets.
+/// Faults that an instance injects into the handling of its requests.
 export const UpstreamFault = {
   none: 'none',
-  /// Refuses, with the promise that it did not run.
+  /// Responds with 503 and the header that says that the request was not executed.
   full: 'full',
-  /// Runs the request and closes without an answer.
+  /// Executes the request and resets the connection without a response.
   answerLost: 'answer-lost',
-  /// Answers with another request's id.
+  /// Responds with the id of another attempt.
   mixedUp: 'mixed-up',
-  /// Breaks the answer off in the middle.
+  /// Closes the connection in the middle of the response.
   broken: 'broken',
-  /// Sends an answer without a length, which ends with its connection.
+  /// Sends a response without a length, which ends when the connection closes.
   unframed: 'unframed',
-  /// Sends an answer without a length and resets its connection in the middle.
+  /// Sends a response without a length and resets the connection in the middle of it.
   unframedReset: 'unframed-reset',
-  /// Runs the request and says nothing.
+  /// Executes the request and never responds.
   silent: 'silent'
 } as const
 
@@ -26,13 +26,13 @@
 
 export interface UpstreamOptions {
   readonly id: string
-  /// Events of a stream; 0 for a plain service.
+  /// Events per stream; 0 for a service that does not stream.
   readonly eventCount: number
   readonly firstByteDelayMs: number
   readonly eventIntervalMs: number
 }
 
-/// A request that an instance has run.
+/// A request that an instance has executed.
 export interface ExecutedRequest {
   readonly callId: string
   readonly method: string
@@ -41,14 +41,14 @@
   readonly body: string
 }
 
-/// A small stand-in for an upstream instance, after the platform's published
-/// protocol: a model engine that streams events, or a plain service.
+/// Emulates an upstream instance with the platform's published protocol: a model engine that streams events,
+/// or a service that does not stream.
 export class StandinUpstream {
   fault: UpstreamFault = UpstreamFault.none
   readonly executedRequests: ExecutedRequest[] = []
-  /// Between the last bytes and the reset; 0: the caller sees both at once.
+  /// Delay of the reset after the last bytes; with 0 the client sees both at once.
   resetAfterMs = 20
-  /// Called with each request that begins to run.
+  /// Called when a request starts to execute.
   onRun: (request: ExecutedRequest) => void = () => {}
   private readonly server: Server
 
@@ -82,25 +82,25 @@
       response.writeHead(503, { 'not-executed': '1', 'attempt-id': callId }).end()
       return
     }
-    const ran = { callId, method, path, headers, body: Buffer.concat(chunks).toString('utf8') }
-    this.executedRequests.push(ran)
-    this.onRun(ran)
+    const executed = { callId, method, path, headers, body: Buffer.concat(chunks).toString('utf8') }
+    this.executedRequests.push(executed)
+    this.onRun(executed)
     if (this.fault === UpstreamFault.silent) return
     if (this.fault === UpstreamFault.answerLost) {
       request.socket.resetAndDestroy()
       return
     }
     if (this.fault === UpstreamFault.unframedReset) {
-      this.resetUnframed(request.socket, callId)
+      this.sendUnframedAndReset(request.socket, callId)
       return
     }
-    const named = this.fault === UpstreamFault.mixedUp ? 'another' : callId
-    const head = { 'attempt-id': named, 'server-signature': `${this.options.id}.${callId}`, 'server-load': '1,0,32' }
-    if (this.options.eventCount > 0) await this.stream(request, response, head, ran)
-    else await this.answer(response, head, ran)
+    const echoedId = this.fault === UpstreamFault.mixedUp ? 'another' : callId
+    const responseHeaders = { 'attempt-id': echoedId, 'server-signature': `${this.options.id}.${callId}`, 'server-load': '1,0,32' }
+    if (this.options.eventCount > 0) await this.stream(request, response, responseHeaders, executed)
+    else await this.respond(response, responseHeaders, executed)
   }
 
-  private resetUnframed (socket: Socket, callId: string): void {
+  private sendUnframedAndReset (socket: Socket, callId: string): void {
     const type = this.options.eventCount > 0 ? 'text/event-stream' : 'text/plain'
     const head = `HTTP/1.1 200 OK\r\nattempt-id: ${callId}\r\nserver-signature: s\r\ncontent-type: ${type}\r\nconnection: close\r\n\r\n`
     socket.write(`${head}id: 1\ndata: first\n\n`)
@@ -108,17 +108,21 @@
     else setTimeout(() => socket.resetAndDestroy(), this.resetAfterMs)
   }
 
-  private async answer (response: ServerResponse, head: Record<string, string>, ran: ExecutedRequest): Promise<void> {
+  private async respond (
+    response: ServerResponse,
+    responseHeaders: Record<string, string>,
+    executed: ExecutedRequest
+  ): Promise<void> {
     await sleep(this.options.firstByteDelayMs)
-    const body = `done ${ran.path} ${ran.body}`
+    const body = `done ${executed.path} ${executed.body}`
     if (this.fault === UpstreamFault.unframed) {
       response.removeHeader('transfer-encoding')
       response.useChunkedEncodingByDefault = false
       response.shouldKeepAlive = false
-      response.writeHead(200, head).end(body)
+      response.writeHead(200, responseHeaders).end(body)
       return
     }
-    response.writeHead(200, { ...head, 'content-length': String(body.length) })
+    response.writeHead(200, { ...responseHeaders, 'content-length': String(body.length) })
     if (this.fault === UpstreamFault.broken) {
       response.write(body.slice(0, 3), () => response.destroy())
       return
@@ -129,17 +133,16 @@
   private async stream (
     request: IncomingMessage,
     response: ServerResponse,
-    head: Record<string,
-    string>,
-    ran: ExecutedRequest
+    responseHeaders: Record<string, string>,
+    executed: ExecutedRequest
   ): Promise<void> {
     await sleep(this.options.firstByteDelayMs)
-    const from = Number(ran.headers['last-event-id'] ?? 0) + 1
-    response.writeHead(200, { ...head, 'content-type': 'text/event-stream' })
-    for (let id = from; id <= this.options.eventCount; id++) {
+    const firstId = Number(executed.headers['last-event-id'] ?? 0) + 1
+    response.writeHead(200, { ...responseHeaders, 'content-type': 'text/event-stream' })
+    for (let id = firstId; id <= this.options.eventCount; id++) {
       if (request.socket.destroyed) return
-      const event = `id: ${id}\ndata: ${this.textOf(ran, id)}\n\n`
-      if (this.fault === UpstreamFault.broken && id > from + 1) {
+      const event = `id: ${id}\ndata: ${this.formatEventData(executed, id)}\n\n`
+      if (this.fault === UpstreamFault.broken && id > firstId + 1) {
         response.write(event.slice(0, 6), () => response.destroy())
         return
       }
@@ -149,8 +152,8 @@
     response.end()
   }
 
-  /// The same prompt gives the same events at every instance.
-  private textOf (ran: ExecutedRequest, id: number): string {
-    return `piece ${id} after ${ran.body.length} bytes`
+  /// Depends on the request only: every instance generates the same events for a prompt, so streams can be resumed.
+  private formatEventData (executed: ExecutedRequest, id: number): string {
+    return `piece ${id} after ${executed.body.length} bytes`
   }
 }
