--- a/demo/src/main.ts
+++ b/demo/src/main.ts
@@ -14,34 +14,34 @@
   storages: 3,
   engines: 2,
   services: 1,
-  nodeArguments: (process.env.DEMO_NODE_ARGUMENTS ?? '').split(' ').filter(word => word !== '')
+  nodeArguments: (process.env.DEMO_NODE_ARGUMENTS ?? '').split(' ').filter(argument => argument !== '')
 })
 
-/// Draws a program's calls on a line each.
-function draw ({ programId, calls }: ProgramResult): string {
+/// Draws a program's calls as bars on a common time axis, one line per call.
+function drawProgram ({ programId, calls }: ProgramResult): string {
   const endMs = Math.max(...calls.map(call => call.endMs))
   const lines = [...calls].sort((a, b) => a.startMs - b.startMs).map(call => {
     const from = Math.floor(call.startMs / endMs * barWidth)
     const length = Math.max(1, Math.round((call.endMs - call.startMs) / endMs * barWidth))
     const bar = ' '.repeat(from) + '='.repeat(Math.min(length, barWidth - from))
-    return `  ${call.what.padEnd(20)} |${bar.padEnd(barWidth)}| ${String(call.status)} ${Math.round(call.endMs - call.startMs)} ms`
+    return `  ${call.label.padEnd(20)} |${bar.padEnd(barWidth)}| ${String(call.status)} ${Math.round(call.endMs - call.startMs)} ms`
   })
   return [`program ${programId}`, ...lines].join('\n')
 }
 
 async function main (): Promise<number> {
   await system.start()
-  const entries = system.entries.map(node => node.callers)
-  const seen = await Promise.all(Array.from(
+  const entries = system.entries.map(node => node.callerAddress)
+  const results = await Promise.all(Array.from(
     { length: programs },
     (_, i) => runProgram(entries[i % entries.length]!, turns, tokenBudget)
   ))
-  const calls = seen.flatMap(program => program.calls)
+  const calls = results.flatMap(program => program.calls)
   const failed = calls.filter(call => call.status !== 200)
-  const ran = [...system.engines, ...system.services].flatMap(upstream => upstream.executedRequests)
-  const repeated = ran.length - new Set(ran.map(request => request.callId)).size
-  process.stdout.write(`${draw(seen[0]!)}\n\n${programs} programs, ${calls.length} calls, ${failed.length} failed, ${repeated} run twice\n`)
-  return failed.length === 0 && repeated === 0 ? 0 : 1
+  const executed = [...system.engines, ...system.services].flatMap(upstream => upstream.executedRequests)
+  const duplicateCount = executed.length - new Set(executed.map(request => request.callId)).size
+  process.stdout.write(`${drawProgram(results[0]!)}\n\n${programs} programs, ${calls.length} calls, ${failed.length} failed, ${duplicateCount} run twice\n`)
+  return failed.length === 0 && duplicateCount === 0 ? 0 : 1
 }
 
 runAndExit(system, main)
--- a/demo/src/run.ts
+++ b/demo/src/run.ts
@@ -1,6 +1,6 @@
 import type { StandinSystem } from '#standin/system'
 
-/// Runs a whole demo, stops its processes however it ends, and exits with its code.
+/// Runs `main`, stops the system's processes even if it fails, and exits with the code that it returned, 1 on an error.
 export function runAndExit (system: StandinSystem, main: () => Promise<number>): void {
   main().catch((error: unknown) => {
     process.stderr.write(`${String(error)}\n`)
--- a/demo/src/soak.ts
+++ b/demo/src/soak.ts
@@ -6,22 +6,22 @@
 import type { CallResult } from './program.js'
 import { runAndExit } from './run.js'
 
-/// Plays programs against real processes while these are killed, lose their
-/// disks and their store, and checks what must hold in the end.
+/// Runs programs against real processes while these are killed, lose their disks or cannot reach the store.
+/// Then checks that no stored turn is lost, no charge has run twice and no refused charge has run.
 const rounds = Number(process.env.SOAK_ROUNDS ?? 6)
 const programsAtOnce = 3
 const turns = 3
 const tokenBudget = 5000
 const outageMs = 1500
-const settleMs = 2500
-/// The stand-ins' configuration keeps turns for 60 s.
-const surelyKeptMs = 55_000
+const recoveryMs = 2500
+/// The stand-ins' configuration retains turns for 60 s, so younger turns must still be stored.
+const maxCheckedAgeMs = 55_000
 
 const system = new StandinSystem({
   command: [process.execPath, 'target/chicorynotchd.cjs'], entries: 3, storages: 3, engines: 2, services: 2
 })
 
-/// The faults in turn; each leaves what is tolerated.
+/// Injected one per round, in this order. None exceeds what the system tolerates.
 const faults: readonly ((round: number) => Promise<void>)[] = [
   async round => system.restart(pick(system.storages, round), 'SIGKILL', true),
   async round => system.restart(pick(system.entries, round), 'SIGKILL', false),
@@ -41,44 +41,45 @@
 
 async function main (): Promise<number> {
   await system.start()
-  const seen: CallResult[] = []
-  const progress = { isOver: false }
-  const players = Array.from({ length: programsAtOnce }, async (_, player) => {
-    for (let i = player; !progress.isOver; i++) {
-      seen.push(...(await runProgram(pick(system.entries, i).callers, turns, tokenBudget)).calls)
+  const calls: CallResult[] = []
+  const run = { isFinished: false }
+  const clients = Array.from({ length: programsAtOnce }, async (_, clientIndex) => {
+    for (let i = clientIndex; !run.isFinished; i++) {
+      calls.push(...(await runProgram(pick(system.entries, i).callerAddress, turns, tokenBudget)).calls)
     }
   })
   for (let round = 0; round < rounds; round++) {
     await sleep(outageMs)
     await faults[round % faults.length]!(round)
-    await sleep(settleMs)
+    await sleep(recoveryMs)
     await system.waitUntilReady()
   }
-  progress.isOver = true
-  await Promise.all(players)
-  const kept = seen.filter(call => call.what.startsWith('turn') && call.status === 200)
-  const lost = await countLost(kept)
+  run.isFinished = true
+  await Promise.all(clients)
+  const storedTurns = calls.filter(call => call.label.startsWith('turn') && call.status === 200)
+  const lostCount = await countLostTurns(storedTurns)
   const charges = system.services.flatMap(service => service.executedRequests).filter(request => request.path.startsWith('/charge/'))
-  const repeated = charges.length - new Set(charges.map(request => request.callId)).size
-  const answered = new Map(seen.map(call => [call.callId, call.status]))
-  const falselyRefused = charges.filter(({ callId }) => [429, 503].includes(answered.get(callId) ?? 0)).length
-  const served = seen.filter(call => call.status === 200).length
-  process.stdout.write(`${rounds} faults, ${seen.length} calls, ${served} served, ${kept.length} turns kept, ${lost} lost, ` +
-    `${repeated} charges run twice, ${falselyRefused} run though refused\n`)
-  return lost === 0 && repeated === 0 && falselyRefused === 0 && served > 0 ? 0 : 1
+  const duplicateCount = charges.length - new Set(charges.map(request => request.callId)).size
+  const statusByCallId = new Map(calls.map(call => [call.callId, call.status]))
+  const executedDespiteRefusal = charges
+    .filter(({ callId }) => [429, 503].includes(statusByCallId.get(callId) ?? 0)).length
+  const successCount = calls.filter(call => call.status === 200).length
+  process.stdout.write(`${rounds} faults, ${calls.length} calls, ${successCount} served, ${storedTurns.length} turns stored, ${lostCount} lost, ` +
+    `${duplicateCount} charges run twice, ${executedDespiteRefusal} run despite refusal\n`)
+  return lostCount === 0 && duplicateCount === 0 && executedDespiteRefusal === 0 && successCount > 0 ? 0 : 1
 }
 
-/// How many turns that are still owed can't be continued.
-async function countLost (kept: readonly CallResult[]): Promise<number> {
-  let lost = 0
-  let checked = 0
-  for (const [i, turn] of kept.entries()) {
-    if (performance.now() - turn.endedAtMs > surelyKeptMs) continue
-    checked++
-    if (await continueTurn(pick(system.entries, i).callers, turn.callId) !== 200) lost++
+/// Counts the turns within their retention period that can't be continued.
+async function countLostTurns (storedTurns: readonly CallResult[]): Promise<number> {
+  let lostCount = 0
+  let checkedCount = 0
+  for (const [i, turn] of storedTurns.entries()) {
+    if (performance.now() - turn.endedAtMs > maxCheckedAgeMs) continue
+    checkedCount++
+    if (await continueTurn(pick(system.entries, i).callerAddress, turn.callId) !== 200) lostCount++
   }
-  process.stdout.write(`${checked} of ${kept.length} turns were owed at the end\n`)
-  return lost
+  process.stdout.write(`${checkedCount} of ${storedTurns.length} turns were within their retention period at the end\n`)
+  return lostCount
 }
 
 runAndExit(system, main)
