--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,6 +1,6 @@
 import neostandard, { resolveIgnoresFromGitignore } from 'neostandard'
 
-/// The linter's rules: Standard style, with no enums and named exports only.
+/// Linter rules: Standard style, no enums, named exports only.
 export default [
   ...neostandard({
     ts: true,
@@ -16,12 +16,12 @@
     files: ['**/*.ts'],
     ignores: ['vitest.config.ts'],
     rules: {
-      // A constant object and the type of its values share a name.
+      // A constant object and the union type of its values share a name.
       '@typescript-eslint/no-redeclare': 'off',
       'no-restricted-syntax': [
         'error',
-        { selector: 'TSEnumDeclaration', message: 'Use a constant object.' },
-        { selector: 'ExportDefaultDeclaration', message: 'Use a named export.' }
+        { selector: 'TSEnumDeclaration', message: 'Use a constant object instead of an enum.' },
+        { selector: 'ExportDefaultDeclaration', message: 'Use a named export instead of a default export.' }
       ]
     }
   }
