--- a/process/entry/src/entry.ts
+++ b/process/entry/src/entry.ts
@@ -29,39 +29,41 @@
   readonly stopGraceMs: number
 }
 
-/// What an entry needs of the platform.
+/// The platform services that an entry depends on.
 export interface EntryPlatform {
   readonly headers: HeaderCodec
   readonly store: ObjectStore
   readonly parseInstance: ParseInstance
-  /// Throws where the object holds no configuration.
+  /// Throws if the object does not contain a valid configuration.
   readonly parseConfiguration: (object: StoredObject) => Configuration
 }
 
-const configurationName = 'main'
+const configurationObjectName = 'main'
 const watchWaitMs = 2000
 const watchPauseMs = 40
-const viewReadPauseMs = 400
-const viewCheckMs = 250
-const cacheBytes = 24 * 1024 * 1024
+const minViewReadIntervalMs = 400
+const viewCheckIntervalMs = 250
+const chainCacheBytes = 24 * 1024 * 1024
 const defaultMaxConnections = 32
-/// One entry's part of an instance's connections.
+/// Fraction of an instance's connections that one entry may use.
 const connectionShare = 0.25
-/// After SIGTERM: callers are still taken for this long, until the balancer has noticed.
-const stopAcceptingAfterMs = 2600
+/// New connections are accepted for this long after SIGTERM: the load balancer needs time to notice the failing
+/// readiness check.
+const stopAcceptingDelayMs = 2600
+/// In-flight calls must end this long before the end of the stop grace period.
 const stopMarginMs = 700
-const drainCheckMs = 50
+const drainPollIntervalMs = 50
 
-/// The role before the callers: routes, waits, forwards and streams.
+/// The entry role: accepts calls, routes and queues them, and streams the responses of upstream instances back.
 export class Entry implements EntryState {
   routes: RouteTable | null = null
   isStopping = false
   private configurationRevision = 0
-  private underWay = 0
+  private callsInFlight = 0
   private isReadingView = false
-  private nextViewReadMs = 0
-  private readonly stops: (() => void)[] = []
-  private readonly closes: (() => Promise<void>)[] = []
+  private nextViewReadAtMs = 0
+  private readonly stopCallbacks: (() => void)[] = []
+  private readonly closeCallbacks: (() => Promise<void>)[] = []
   private readonly registry: InstanceRegistry
   private readonly quorum: LedgerQuorum
   private readonly front: FrontServer
@@ -75,7 +77,7 @@
   ) {
     this.registry = new InstanceRegistry({
       parseInstance: platform.parseInstance,
-      connect: description => this.connect(description),
+      connect: description => this.createClient(description),
       onChange: () => placement.processQueue()
     }, log)
     const placement = new Placement(this.registry, options.zone, log)
@@ -89,7 +91,7 @@
       codec: platform.headers,
       placement,
       ledger: this.quorum,
-      cache: new ChainCache(cacheBytes),
+      cache: new ChainCache(chainCacheBytes),
       log,
       metrics
     }
@@ -97,39 +99,39 @@
       serve: exchange => this.serve(exchange),
       onMalformed: code => log.event(Events.requestMalformed, { code })
     })
-    metrics.addGauge('calls_under_way', () => this.underWay)
+    metrics.addGauge('calls_under_way', () => this.callsInFlight)
     metrics.addGauge('calls_waiting', () => placement.queueLength)
   }
 
   async start (): Promise<void> {
     const { options, platform, log } = this
-    const pace = { waitMs: watchWaitMs, pauseMs: watchPauseMs }
-    this.stops.push(
-      watchObject(platform.store, { kind: ObjectKind.configuration, ...pace }, configurationName, object => {
-        if (object !== null) this.configure(object)
+    const timing = { waitMs: watchWaitMs, pauseMs: watchPauseMs }
+    this.stopCallbacks.push(
+      watchObject(platform.store, { kind: ObjectKind.configuration, ...timing }, configurationObjectName, object => {
+        if (object !== null) this.applyConfiguration(object)
       }, log),
-      watchObjects(platform.store, { kind: ObjectKind.instances, ...pace }, this.registry, log)
+      watchObjects(platform.store, { kind: ObjectKind.instances, ...timing }, this.registry, log)
     )
     this.readView()
-    const viewTimer = setInterval(() => { if (this.quorum.viewVersion === 0) this.readView() }, viewCheckMs)
-    this.stops.push(() => clearInterval(viewTimer))
-    this.closes.push(await serveStatus(options.readinessAddress, {
+    const viewTimer = setInterval(() => { if (this.quorum.viewVersion === 0) this.readView() }, viewCheckIntervalMs)
+    this.stopCallbacks.push(() => clearInterval(viewTimer))
+    this.closeCallbacks.push(await serveStatus(options.readinessAddress, {
       [options.readinessPath]: () => this.isReady ? { status: 200, text: 'ready\n' } : { status: 503, text: 'not ready\n' }
     }))
     await this.front.listen(options.callersAddress)
   }
 
-  /// Lets what is under way end, and resolves when nothing is or time is up.
+  /// Drains calls in flight. Resolves when none is left, or shortly before the grace period ends.
   async stop (): Promise<void> {
     const startedAtMs = performance.now()
-    const lastMs = startedAtMs + this.options.stopGraceMs - stopMarginMs
+    const deadlineMs = startedAtMs + this.options.stopGraceMs - stopMarginMs
     this.isStopping = true
-    await sleep(Math.min(stopAcceptingAfterMs, this.options.stopGraceMs / 2))
+    await sleep(Math.min(stopAcceptingDelayMs, this.options.stopGraceMs / 2))
     const closing = this.front.close()
-    while (this.underWay > 0 && performance.now() < lastMs) await sleep(drainCheckMs)
-    await Promise.race([closing, sleep(Math.max(0, lastMs - performance.now()))])
-    for (const stop of this.stops) stop()
-    await Promise.race([Promise.all(this.closes.map(close => close())), sleep(drainCheckMs)])
+    while (this.callsInFlight > 0 && performance.now() < deadlineMs) await sleep(drainPollIntervalMs)
+    await Promise.race([closing, sleep(Math.max(0, deadlineMs - performance.now()))])
+    for (const stop of this.stopCallbacks) stop()
+    await Promise.race([Promise.all(this.closeCallbacks.map(close => close())), sleep(drainPollIntervalMs)])
     this.quorum.close()
   }
 
@@ -137,21 +139,21 @@
     return !this.isStopping && this.routes !== null && this.registry.hasListing && this.quorum.isAvailable
   }
 
-  /// Whether callers should rather go to another entry.
+  /// True if callers should reconnect to another entry.
   get shouldCloseConnections (): boolean {
     return this.isStopping || !this.quorum.isAvailable
   }
 
   private async serve (exchange: Parameters<typeof serveExchange>[0]): Promise<void> {
-    this.underWay++
+    this.callsInFlight++
     try {
       await serveExchange(exchange, this, this.context)
     } finally {
-      this.underWay--
+      this.callsInFlight--
     }
   }
 
-  private configure (object: StoredObject): void {
+  private applyConfiguration (object: StoredObject): void {
     if (object.revision <= this.configurationRevision) return
     try {
       const configuration = this.platform.parseConfiguration(object)
@@ -169,18 +171,18 @@
     }
   }
 
-  private connect (description: InstanceDescription): InstanceClient {
+  private createClient (description: InstanceDescription): InstanceClient {
     const service = this.routes?.configuration.services.get(description.service)
     const share = Math.floor((service?.maxConnections ?? 0) * connectionShare)
     return new InstanceClient(description.address, share > 0 ? share : defaultMaxConnections)
   }
 
-  /// Reads the storage membership, at most once at a time and not too often.
+  /// Reads the storage view from the store, unless a read is in flight or the last one is too recent.
   private readView (): void {
     const nowMs = performance.now()
-    if (this.isReadingView || nowMs < this.nextViewReadMs) return
+    if (this.isReadingView || nowMs < this.nextViewReadAtMs) return
     this.isReadingView = true
-    this.nextViewReadMs = nowMs + viewReadPauseMs
+    this.nextViewReadAtMs = nowMs + minViewReadIntervalMs
     this.platform.store.get(ObjectKind.storageViews, viewObjectName).then(object => {
       if (object !== null) this.quorum.adoptView(parseView(object.spec), 'store')
     }).catch((error: unknown) => {
--- a/process/entry/src/serve.ts
+++ b/process/entry/src/serve.ts
@@ -8,17 +8,17 @@
 import type { RouteTable } from '#version/configuration'
 import { Events, formatError } from '#process/log'
 
-/// What serving needs of the process at each moment.
+/// The state of the entry that each exchange reads.
 export interface EntryState {
-  /// Null before the first configuration.
+  /// Null until the first configuration has been applied.
   readonly routes: RouteTable | null
-  /// Callers are asked to open their next connection to another entry.
+  /// True if responses close the connection, so that callers reconnect to another entry.
   readonly shouldCloseConnections: boolean
 }
 
-type Serve = (routed: RoutedCall, caller: CallerResponse, context: ForwardContext) => Promise<void>
+type ServeFunction = (routed: RoutedCall, caller: CallerResponse, context: ForwardContext) => Promise<void>
 
-const serveByKind: Readonly<Record<RouteKind, Serve>> = {
+const serveByKind: Readonly<Record<RouteKind, ServeFunction>> = {
   streaming: serveStream,
   idempotent: serveUnary,
   'non-idempotent': serveUnary
@@ -27,25 +27,25 @@
 const defaultMaxBodyBytes = 1024 * 1024
 const noConfigurationRetryMs = 300
 
-/// Serves one exchange from its head to the end of the answer. Never rejects.
+/// Serves one exchange until its response has ended. Never rejects.
 export async function serveExchange (exchange: Exchange, state: EntryState, context: ForwardContext): Promise<void> {
   const receivedAtMs = performance.now()
-  const stop = new AbortController()
-  exchange.onDisconnect(() => stop.abort(AbortReason.callerDisconnected))
-  const answer = new Answer(exchange, context.codec, state)
+  const controller = new AbortController()
+  exchange.onDisconnect(() => controller.abort(AbortReason.callerDisconnected))
+  const response = new ExchangeResponse(exchange, context.codec, state)
   let call: Call | null = null
   let timer: ReturnType<typeof setTimeout> | null = null
   try {
     call = readCall(exchange, context.codec, receivedAtMs)
     const maxBodyBytes = state.routes?.configuration.callerLimits.maxBodyBytes ?? defaultMaxBodyBytes
     const body = await exchange.readBody(maxBodyBytes)
-    const routed = routeCall(call, body, state, stop.signal)
-    timer = setTimeout(() => stop.abort(AbortReason.deadline), routed.deadlineMs - performance.now())
+    const routed = routeCall(call, body, state, controller.signal)
+    timer = setTimeout(() => controller.abort(AbortReason.deadline), routed.deadlineMs - performance.now())
     context.metrics.increment(`calls_total{kind="${routed.route.kind}"}`)
-    await serveByKind[routed.route.kind](routed, answer, context)
-    noteEnd(call, receivedAtMs, answer, stop.signal, context)
+    await serveByKind[routed.route.kind](routed, response, context)
+    recordCompletion(call, receivedAtMs, response, controller.signal, context)
   } catch (error) {
-    refuse(error, call, answer, receivedAtMs, stop.signal, context)
+    handleError(error, call, response, receivedAtMs, controller.signal, context)
   } finally {
     if (timer !== null) clearTimeout(timer)
   }
@@ -63,10 +63,10 @@
 function routeCall (call: Call, body: Buffer, state: EntryState, signal: AbortSignal): RoutedCall {
   const { routes } = state
   if (routes === null) {
-    throw new RefusedError(Refusal.noConfiguration, Verdict.notRun, 'no configuration is known yet', noConfigurationRetryMs)
+    throw new RefusedError(Refusal.noConfiguration, Verdict.notRun, 'no configuration has been loaded yet', noConfigurationRetryMs)
   }
   const route = routes.find(call.host, call.path)
-  if (route === null) throw new RefusedError(Refusal.noRoute, Verdict.notRun, `no route of version ${routes.configuration.version}`)
+  if (route === null) throw new RefusedError(Refusal.noRoute, Verdict.notRun, `no route in configuration version ${routes.configuration.version} matches the host and path`)
   const serviceName = pickTarget(route, call.program?.id ?? call.id)
   return {
     call,
@@ -80,10 +80,10 @@
   }
 }
 
-function noteEnd (
+function recordCompletion (
   call: Call,
   receivedAtMs: number,
-  answer: Answer,
+  response: ExchangeResponse,
   signal: AbortSignal,
   context: ForwardContext
 ): void {
@@ -98,20 +98,20 @@
     return
   }
   context.metrics.observeMs('call', durationMs)
-  context.metrics.increment(`answers_total{status="${answer.status}"}`)
+  context.metrics.increment(`answers_total{status="${response.status}"}`)
   context.log.event(Events.callFinished, {
     callId: call.id,
     programId: call.program?.id,
-    status: answer.status,
-    bytes: answer.bytes,
+    status: response.status,
+    bytes: response.bytes,
     durationMs: Math.round(durationMs)
   })
 }
 
-function refuse (
+function handleError (
   error: unknown,
   call: Call | null,
-  answer: Answer,
+  response: ExchangeResponse,
   receivedAtMs: number,
   signal: AbortSignal,
   context: ForwardContext
@@ -131,17 +131,17 @@
     return
   }
   context.metrics.increment(`refusals_total{refusal="${refused.refusal}"}`)
-  if (answer.hasStarted) {
-    context.log.event(Events.answerBroken, { ...fields, bytes: answer.bytes })
-    answer.abort()
+  if (response.hasStarted) {
+    context.log.event(Events.answerBroken, { ...fields, bytes: response.bytes })
+    response.abort()
   } else {
     context.log.event(Events.callRefused, { ...fields, status: refused.status, retryAfterMs: refused.retryAfterMs })
-    answer.refuse(refused, call)
+    response.refuse(refused, call)
   }
 }
 
-/// The caller's side of one exchange.
-class Answer implements CallerResponse {
+/// Writes the response of one exchange, and records its status and size.
+class ExchangeResponse implements CallerResponse {
   status = 0
   bytes = 0
 
--- a/process/entry/test/harness.ts
+++ b/process/entry/test/harness.ts
@@ -15,13 +15,13 @@
 import { platformHeaders, parseConfiguration, parseInstance } from '#platform'
 import { createConfiguration } from '#standin/system'
 
-/// A ledger in memory that can be told to fail.
+/// An in-memory ledger that can be made unavailable.
 export class FakeLedger implements TurnLedger {
   readonly records = new Map<string, LedgerRecord>()
-  isAway = false
+  isUnavailable = false
 
   async append (records: readonly LedgerRecord[]): Promise<void> {
-    if (this.isAway) throw new Error('away')
+    if (this.isUnavailable) throw new Error('away')
     for (const record of records) this.records.set(`${record.kind}/${record.id}`, record)
   }
 
@@ -30,11 +30,11 @@
     return await this.readAccount(reservation.programId)
   }
 
-  async readAccount (ofProgram: string): Promise<ReturnType<typeof mergeAccountEntries>[]> {
-    if (this.isAway) throw new Error('away')
+  async readAccount (accountProgramId: string): Promise<ReturnType<typeof mergeAccountEntries>[]> {
+    if (this.isUnavailable) throw new Error('away')
     const account = new Map<string, ReturnType<typeof mergeAccountEntries>>()
     for (const { kind, id, tokens, programId } of this.records.values()) {
-      if (programId !== ofProgram) continue
+      if (programId !== accountProgramId) continue
       const entry = kind === 1
         ? {
             id,
@@ -49,7 +49,7 @@
   }
 
   async findChain (turnId: string): Promise<LedgerRecord[] | null> {
-    if (this.isAway) throw new Error('away')
+    if (this.isUnavailable) throw new Error('away')
     const chain: LedgerRecord[] = []
     for (let id = turnId; id !== '';) {
       const turn = this.records.get(`3/${id}`)
@@ -61,30 +61,30 @@
   }
 }
 
-/// What a caller saw.
-export interface Seen {
+/// The response as the caller received it.
+export interface CallResult {
   readonly status: number
   readonly headers: Record<string, unknown>
   readonly body: string
 }
 
-/// An upstream instance by its id, which begins with its service, and its address.
-export interface Listed {
+/// An upstream instance to list; its id has the form SERVICE-NUMBER.
+export interface ListedInstance {
   readonly id: string
   readonly address: string
 }
 
-/// The serving part of an entry before given instances, with a ledger in memory.
+/// Serves calls as an entry does, with a fixed list of upstream instances and an in-memory ledger.
 export class EntryHarness {
   readonly ledger = new FakeLedger()
   readonly registry: InstanceRegistry
   address = ''
   private readonly front: FrontServer
 
-  constructor (instances: readonly Listed[]) {
+  constructor (instances: readonly ListedInstance[]) {
     this.registry = new InstanceRegistry({
       parseInstance,
-      connect: at => new InstanceClient(at.address, 8),
+      connect: description => new InstanceClient(description.address, 8),
       onChange: () => {}
     }, noopLog)
     const objects = instances.map(({ id, address }) => {
@@ -115,12 +115,12 @@
     await this.front.close()
   }
 
-  async call (path: string, headers: Record<string, string> = {}, method: 'GET' | 'POST' = 'POST', body = 'hello'): Promise<Seen> {
-    const answer = await request(`http://${this.address}${path}`, {
+  async call (path: string, headers: Record<string, string> = {}, method: 'GET' | 'POST' = 'POST', body = 'hello'): Promise<CallResult> {
+    const response = await request(`http://${this.address}${path}`, {
       method,
       headers: { host: 'demo.example', 'attempt-id': randomBytes(8).toString('hex'), 'deadline-ms': '1500', ...headers },
       body: method === 'GET' ? null : body
     })
-    return { status: answer.statusCode, headers: answer.headers, body: await answer.body.text() }
+    return { status: response.statusCode, headers: response.headers, body: await response.body.text() }
   }
 }
--- /dev/null
+++ b/process/entry/test/malformedresponse.test.ts
@@ -0,0 +1,103 @@
+import { randomBytes } from 'node:crypto'
+import { createServer } from 'node:net'
+import type { AddressInfo, Server, Socket } from 'node:net'
+import { afterEach, expect, test } from 'vitest'
+import { sleep } from '#process/clock'
+import { EntryHarness } from './harness.js'
+
+/// Writes an instance's raw response to the request with this call id and zero-based number.
+type WriteResponse = (callId: string, requestNumber: number, socket: Socket) => void
+
+const largeBody = 'x'.repeat(2 * 1024 * 1024)
+let server: Server
+let entry: EntryHarness
+/// The chunks received by the instance, per connection.
+let received: Buffer[][]
+
+afterEach(async () => {
+  await entry.close()
+  server.close()
+})
+
+/// Starts an entry with one upstream server, listed under each of the ids, that responds with raw bytes.
+async function startEntry (writeResponse: WriteResponse, ids = ['tools-0']): Promise<void> {
+  received = []
+  let requestNumber = 0
+  server = createServer(socket => {
+    const chunks: Buffer[] = []
+    received.push(chunks)
+    socket.on('error', () => {})
+    socket.on('data', chunk => {
+      chunks.push(chunk)
+      const callId = /^attempt-id: (\w+)\r$/im.exec(chunk.toString('latin1'))?.[1]
+      if (callId !== undefined) writeResponse(callId, requestNumber++, socket)
+    })
+  })
+  await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
+  const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
+  entry = new EntryHarness(ids.map(id => ({ id, address })))
+  await entry.listen()
+}
+
+function formatResponse (callId: string, body: string, length = body.length): string {
+  return `HTTP/1.1 200 OK\r\nattempt-id: ${callId}\r\nserver-signature: s\r\ncontent-length: ${length}\r\n\r\n${body}`
+}
+
+test.each<[string, WriteResponse]>([
+  ['bytes that are not HTTP', (_, __, socket) => socket.write('hello there\r\n\r\n')],
+  ['a response to another call', (_, __, socket) => socket.write(formatResponse('other', 'theirs'))],
+  ['a response without a call id', (_, __, socket) => socket.write('HTTP/1.1 200 OK\r\nserver-signature: s\r\ncontent-length: 2\r\n\r\nno')],
+  ['an unsigned response', (id, _, socket) => socket.write(`HTTP/1.1 200 OK\r\nattempt-id: ${id}\r\ncontent-length: 2\r\n\r\nno`)],
+  ['a response with a content encoding', (id, _, socket) => socket.write(`HTTP/1.1 200 OK\r\nattempt-id: ${id}\r\nserver-signature: s\r\ncontent-encoding: gzip\r\ncontent-length: 2\r\n\r\nno`)],
+  ['a truncated response', (id, _, socket) => socket.end(formatResponse(id, 'half', 8))],
+  ['a connection closed without a response', (_, __, socket) => socket.end()]
+])('%s is not forwarded, and the call is not reported as not run', async (_, write) => {
+  await startEntry(write)
+  const response = await entry.call('/charge/1').catch(() => null)
+  expect([502, 504, undefined]).toContain(response?.status)
+})
+
+test.each<[string, (id: string) => string]>([
+  ['a second response in the same write', id => formatResponse(id, 'first') + formatResponse(id, 'second')],
+  ['more bytes than the content length', id => `${formatResponse(id, 'first')}and more`]
+])('%s: the first response is forwarded and the rest is discarded', async (_, bytes) => {
+  await startEntry((id, number, socket) => socket.write(number === 0 ? bytes(id) : formatResponse(id, `own ${number}`)))
+  expect((await entry.call('/charge/1')).body).toBe('first')
+  for (const number of [1, 2]) expect((await entry.call('/charge/1')).body).toBe(`own ${number}`)
+})
+
+test('a late second response is not taken for the response to the next call', async () => {
+  await startEntry((id, number, socket) => {
+    socket.write(formatResponse(id, `own ${number}`))
+    if (number === 0) setTimeout(() => socket.write(formatResponse(id, 'late')), 20)
+  })
+  await entry.call('/charge/1')
+  await sleep(40)
+  expect((await entry.call('/charge/1')).body).toBe('own 1')
+})
+
+test('a response sent before the request body is read: no other request\'s bytes take the place of the rest of the body', async () => {
+  await startEntry((id, number, socket) => {
+    if (number === 0) socket.pause()
+    socket.write(formatResponse(id, `own ${number}`))
+    if (number === 0) setTimeout(() => socket.resume(), 60)
+  })
+  const early = await entry.call('/charge/1', {}, 'POST', largeBody)
+  const next = await entry.call('/charge/1', { 'attempt-id': randomBytes(8).toString('hex') }, 'POST', 'next')
+  await sleep(120)
+  expect([early.status, next.body]).toEqual([200, 'own 1'])
+  const first = Buffer.concat(received[0]!).toString('latin1')
+  const body = first.slice(first.indexOf('\r\n\r\n') + 4, first.indexOf('\r\n\r\n') + 4 + largeBody.length)
+  expect(body).toBe('x'.repeat(body.length))
+})
+
+// Guards against events lost on resume: those before the gap were recorded as delivered without having been written.
+test('a gap in the event ids within one chunk: the events before it are delivered, the rest by another instance', async () => {
+  const event = (id: number): string => `id: ${id}\ndata: ${id}\n\n`
+  const head = (id: string): string => `HTTP/1.1 200 OK\r\nattempt-id: ${id}\r\nserver-signature: s\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n`
+  await startEntry((id, number, socket) => {
+    if (number === 0) socket.write(`${head(id)}${event(1)}${event(2)}${event(4)}`)
+    else socket.end(`${head(id)}${event(3)}${event(4)}`)
+  }, ['models-0', 'models-1'])
+  expect((await entry.call('/query/1')).body).toBe([1, 2, 3, 4].map(event).join(''))
+})
