--- a/version/configuration/src/configuration.ts
+++ b/version/configuration/src/configuration.ts
@@ -1,4 +1,4 @@
-/// One version of what operators have set. Immutable; a newer one replaces it whole.
+/// One version of the operator's configuration. Immutable; a newer version replaces all of it.
 export interface Configuration {
   readonly version: number
   readonly routes: readonly Route[]
@@ -6,7 +6,7 @@
   readonly callerLimits: CallerLimits
 }
 
-/// How requests under a host and a path prefix are served.
+/// How calls to a host and path prefix are served.
 export interface Route {
   readonly name: string
   readonly host: string
@@ -17,12 +17,12 @@
   /// 0 is the most urgent.
   readonly priority: number
   readonly targets: readonly RouteTarget[]
-  /// Instances that one call may be sent to.
+  /// Number of instances that one call may be sent to.
   readonly maxInstances: number
-  /// Each turn is kept, and later turns may continue from it.
+  /// True if turns are stored, so that later turns can continue from them.
   readonly keepsHistory: boolean
   readonly retentionMs: number
-  /// A broken stream may be continued after its last event.
+  /// True if a broken stream may be resumed after its last event.
   readonly resumable: boolean
 }
 
@@ -34,7 +34,7 @@
 
 export type RouteKind = typeof RouteKind[keyof typeof RouteKind]
 
-/// A service that a route leads to, with its share of the calls.
+/// A service that a route forwards calls to; its share is its weight relative to the route's other targets.
 export interface RouteTarget {
   readonly service: string
   readonly weight: number
@@ -43,20 +43,21 @@
 /// A group of instances that serve the same requests.
 export interface Service {
   readonly name: string
-  /// Connections that one instance takes from all callers together.
+  /// Connections that one instance accepts from all of its clients together. 0 if not configured.
   readonly maxConnections: number
+  /// Null for services without a model engine.
   readonly engine: Engine | null
 }
 
-/// The traits of a service's model engines.
+/// Capacity of one model engine of a service.
 export interface Engine {
   readonly slots: number
   readonly kvCapacityTokens: number
-  /// Tokens in one event of a stream.
+  /// Tokens per event of a response stream.
   readonly tokensPerEvent: number
 }
 
-/// What a caller may send, and how long it may take.
+/// Size limits and timeouts of callers' requests.
 export interface CallerLimits {
   readonly maxHeaderBytes: number
   readonly maxBodyBytes: number
