--- a/process/daemon/src/daemon.ts
+++ b/process/daemon/src/daemon.ts
@@ -11,31 +11,33 @@
 import type { Settings } from '#process/settings'
 import { MembershipController } from '#process/storage'
 
-/// What a daemon needs of the platform that it runs on.
+/// Connects a daemon to the services of its platform.
 export interface DaemonPlatform {
   readonly connect: (settings: Settings, log: ProcessLog, metrics: Metrics) => EntryPlatform
 }
 
-interface Running {
+interface RunningRole {
   stop (): Promise<void>
 }
 
-interface Parts {
+interface RoleContext {
   readonly settings: Settings
   readonly platform: EntryPlatform
   readonly log: ProcessLog
   readonly metrics: Metrics
 }
 
-const compactEveryMs = 5000
+const compactionIntervalMs = 5000
 
-const startByRole: Readonly<Record<Role, (parts: Parts) => Promise<Running>>> = {
+const startByRole: Readonly<Record<Role, (context: RoleContext) => Promise<RunningRole>>> = {
   entry: startEntry,
   storage: startStorage,
-  sidecar: async () => { throw new Error('the sidecar role is not built yet') }
+  sidecar: async () => { throw new Error('the sidecar role is not implemented') }
 }
 
-/// Runs one daemon until it is told to stop. Exits with 0 after a planned stop.
+/// Starts the role given in the settings file. On SIGTERM the process stops it and exits with status 0; on SIGHUP it
+/// validates the settings file. Rejects if the settings are invalid or the role can't be
+/// started.
 export async function runDaemon (settingsFile: string, platform: DaemonPlatform): Promise<void> {
   const settings = parseSettings(settingsFile, readFileSync(settingsFile, 'utf8'))
   const log = new ProcessLog(settings.node.name, settings.node.role)
@@ -61,11 +63,11 @@
     pid: process.pid,
     startMs: Math.round(performance.now())
   })
-  const watch = new StallDetector(lateMs => log.event(Events.processStalled, { lateMs }))
-  process.on('SIGHUP', () => reload(settingsFile, log))
+  const stallDetector = new StallDetector(lateMs => log.event(Events.processStalled, { lateMs }))
+  process.on('SIGHUP', () => validateSettings(settingsFile, log))
   process.once('SIGTERM', () => {
     log.event(Events.processStopping, { signal: 'SIGTERM', graceMs: settings.timing.stop_grace_ms })
-    watch.stop()
+    stallDetector.stop()
     running.stop().then(() => {
       log.event(Events.processStopped, {})
       log.flush()
@@ -78,7 +80,7 @@
   })
 }
 
-async function startEntry ({ settings, platform, log, metrics }: Parts): Promise<Running> {
+async function startEntry ({ settings, platform, log, metrics }: RoleContext): Promise<RunningRole> {
   const entry = new Entry({
     zone: settings.node.zone,
     callersAddress: settings.listen.callers!,
@@ -91,7 +93,7 @@
   return entry
 }
 
-async function startStorage ({ settings, platform, log, metrics }: Parts): Promise<Running> {
+async function startStorage ({ settings, platform, log, metrics }: RoleContext): Promise<RunningRole> {
   const { node, listen } = settings
   const { disk, contents } = Disk.open(settings.storage!.data_dir, log)
   const ledger = new Ledger(disk, contents)
@@ -107,14 +109,14 @@
     connect: peerAddress => new LedgerConnection(peerAddress)
   }, platform.store, ledger, log)
   membership.start()
-  const compaction = setInterval(() => {
+  const compactionTimer = setInterval(() => {
     ledger.compact(Date.now()).catch((error: unknown) => log.event(Events.diskFailed, { error: formatError(error) }))
-  }, compactEveryMs)
-  ledger.onFailure = error => endAfterFailure(log, error)
+  }, compactionIntervalMs)
+  ledger.onFailure = error => exitAfterDiskFailure(log, error)
   metrics.addGauge('records', () => ledger.records.count)
   return {
     stop: async () => {
-      clearInterval(compaction)
+      clearInterval(compactionTimer)
       membership.stop()
       server.close()
       disk.close()
@@ -122,8 +124,8 @@
   }
 }
 
-/// Settings take effect at the next start; a changed file is only checked.
-function reload (settingsFile: string, log: ProcessLog): void {
+/// Checks the settings file without applying it: settings take effect at the next start.
+function validateSettings (settingsFile: string, log: ProcessLog): void {
   try {
     parseSettings(settingsFile, readFileSync(settingsFile, 'utf8'))
     log.event(Events.settingsReloaded, { file: settingsFile })
@@ -132,8 +134,8 @@
   }
 }
 
-/// What a disk holds after a failed write isn't known; the next start reads it anew.
-function endAfterFailure (log: ProcessLog, error: Error): void {
+/// After a failed write the contents of the disk are unknown, so the process exits; the next start reads them again.
+function exitAfterDiskFailure (log: ProcessLog, error: Error): void {
   log.event(Events.processStopped, { reason: formatError(error) })
   log.flush()
   process.exit(1)
--- a/process/launcher/src/launcher.ts
+++ b/process/launcher/src/launcher.ts
@@ -3,31 +3,32 @@
 import { dirname, join } from 'node:path'
 import { Script } from 'node:vm'
 
-type Bundle = (exports: object, require: NodeJS.Require, module: object, filename: string, folder: string) => void
+/// The function that Node's module wrapper makes of the bundle.
+type ModuleWrapper =
+  (exports: object, require: NodeJS.Require, module: object, filename: string, folder: string) => void
 
-/// The argument with which the build has the code cache written.
-const makeCacheArgument = '--make-code-cache'
-const cacheDelayMs = 100
+/// Passed by the build to create the code cache.
+const createCacheFlag = '--make-code-cache'
+const cacheCreationDelayMs = 100
 
-/// Runs the daemon's bundle with the compiled code that the build left beside
-/// it: a start after a kill then costs half the processor time. Without a
-/// usable cache the bundle is compiled as usual.
+/// Runs the daemon's bundle with the V8 code cache that the build stored next to it, which halves the CPU time of a
+/// restart after a kill. Without a usable cache the bundle is compiled as usual.
 export function launch (bundleFile: string): void {
   const cacheFile = `${bundleFile}.cache`
-  const isMaking = process.argv.includes(makeCacheArgument)
-  const cachedData = isMaking ? undefined : readCache(cacheFile)
+  const isCreatingCache = process.argv.includes(createCacheFlag)
+  const cachedData = isCreatingCache ? undefined : readCache(cacheFile)
   const script = new Script(wrap(readFileSync(bundleFile, 'utf8')), { filename: bundleFile, ...cachedData })
   const module = { exports: {} }
-  const run = script.runInThisContext() as Bundle
+  const run = script.runInThisContext() as ModuleWrapper
   run(module.exports, createRequire(bundleFile), module, bundleFile, dirname(bundleFile))
-  if (isMaking) setTimeout(() => writeFileSync(cacheFile, script.createCachedData()), cacheDelayMs)
+  if (isCreatingCache) setTimeout(() => writeFileSync(cacheFile, script.createCachedData()), cacheCreationDelayMs)
 }
 
 function readCache (cacheFile: string): { cachedData: Buffer } | undefined {
   try {
     return { cachedData: readFileSync(cacheFile) }
   } catch {
-    // No cache was built; the daemon itself logs nothing different.
+    // The cache is optional; the daemon logs the same events without it.
     return undefined
   }
 }
