--- a/process/clock/src/stalldetector.ts
+++ b/process/clock/src/stalldetector.ts
@@ -1,13 +1,13 @@
-const checkEveryMs = 500
-/// A timer that is this late shows that the process stood still, or had far more to do than it can.
-const stalledMs = 250
+const checkIntervalMs = 500
+/// A timer this late means that the process was frozen or badly overloaded.
+const stallThresholdMs = 250
 
-/// Notices when the loop stood still: a frozen machine, or one with too little processor.
+/// Detects stalls of the event loop, as on a frozen machine or one with too little CPU time.
 export class StallDetector {
-  private dueMs = performance.now() + checkEveryMs
-  private readonly timer = setInterval(() => this.check(), checkEveryMs)
+  private expectedAtMs = performance.now() + checkIntervalMs
+  private readonly timer = setInterval(() => this.check(), checkIntervalMs)
 
-  /// `onStall` is told for how long, once the loop goes on.
+  /// `onStall` is called after a stall, with how late the timer was.
   constructor (private readonly onStall: (lateMs: number) => void) {}
 
   stop (): void {
@@ -16,8 +16,8 @@
 
   private check (): void {
     const nowMs = performance.now()
-    const lateMs = nowMs - this.dueMs
-    this.dueMs = nowMs + checkEveryMs
-    if (lateMs >= stalledMs) this.onStall(Math.round(lateMs))
+    const lateMs = nowMs - this.expectedAtMs
+    this.expectedAtMs = nowMs + checkIntervalMs
+    if (lateMs >= stallThresholdMs) this.onStall(Math.round(lateMs))
   }
 }
--- a/process/clock/test/stalldetector.test.ts
+++ b/process/clock/test/stalldetector.test.ts
@@ -16,15 +16,15 @@
 
 test.each([
   ['timers on time', [500, 1000, 1500], []],
-  ['a busy loop', [600, 1150, 1700], []],
-  ['a process that stood still for 3 s', [500, 4000, 4500], [3000]]
-])('%s', (_, checkedAtMs, expected) => {
+  ['a busy event loop', [600, 1150, 1700], []],
+  ['a process frozen for 3 s', [500, 4000, 4500], [3000]]
+])('reports only stalls: %s', (_, checkTimesMs, expected) => {
   const stalls: number[] = []
-  const watch = new StallDetector(lateMs => stalls.push(lateMs))
-  for (const atMs of checkedAtMs) {
+  const detector = new StallDetector(lateMs => stalls.push(lateMs))
+  for (const atMs of checkTimesMs) {
     nowMs = atMs
     vi.advanceTimersByTime(500)
   }
-  watch.stop()
+  detector.stop()
   expect(stalls).toEqual(expected)
 })
--- a/process/log/src/catalogue.ts
+++ b/process/log/src/catalogue.ts
@@ -1,15 +1,14 @@
-/// A kind of event. Its number and name are stable; docs/EVENTS.md lists all.
+/// A kind of event. Numbers and names are stable; docs/EVENTS.md lists them.
 export interface EventKind {
   readonly number: number
   readonly name: string
   readonly level: 'debug' | 'info' | 'warn' | 'error'
-  /// Lines a second that are written of this kind; the rest is counted.
+  /// Further lines within a second are dropped and counted.
   readonly maxLinesPerSecond: number
 }
 
-/// The catalogue of events. Numbers: 1xx a process, 2xx configuration,
-/// 3xx membership and storage, 4xx the platform's store, 5xx calls at an
-/// entry, 6xx instances and their load.
+/// The catalogue of events. Numbers: 1xx process, 2xx configuration, 3xx membership and storage, 4xx the platform's
+/// store, 5xx calls at an entry, 6xx instances and their load.
 export const Events = {
   processStarted: { number: 100, name: 'process-started', level: 'info', maxLinesPerSecond: 5 },
   processStopping: { number: 101, name: 'process-stopping', level: 'info', maxLinesPerSecond: 5 },
--- a/process/log/src/log.ts
+++ b/process/log/src/log.ts
@@ -2,37 +2,38 @@
 import { Events } from './catalogue.js'
 import type { EventKind } from './catalogue.js'
 
-/// What an event is about, besides its kind.
+/// The fields of an event's log line.
 export interface EventFields {
   readonly callId?: string
   readonly programId?: string | undefined
   readonly [detail: string]: unknown
 }
 
-/// Where numbered events go.
+/// Receives events.
 export interface EventLog {
   event (kind: EventKind, fields?: EventFields): void
 }
 
-/// An event log that keeps nothing, for tests.
+/// Discards all events, for tests and the emulator.
 export const noopLog: EventLog = { event: () => {} }
 
-interface Budget {
-  lines: number
+/// The lines of one kind of event in the current window.
+interface RateWindow {
+  written: number
   dropped: number
 }
 
-const windowMs = 1000
-const bufferBytes = 256 * 1024
-/// Lines gather up to this size or time before they are written.
-const writeBytes = 8 * 1024
-const writeEveryMs = 250
+const rateWindowMs = 1000
+const maxBufferBytes = 256 * 1024
+/// Lines are buffered until they reach this size or the flush interval has passed.
+const minWriteBytes = 8 * 1024
+const flushIntervalMs = 250
 
-/// Writes events as JSON lines to standard output. Each kind has a number of
-/// lines a second; what goes beyond it is counted and told once the second is
-/// over. Output that isn't read is dropped past a bounded buffer.
+/// Writes events as JSON lines to standard output. Each kind is limited to a number of lines per second; excess lines
+/// are dropped, and their count is logged before the first event after that second. If standard output is not read,
+/// lines that exceed a bounded buffer are dropped.
 export class ProcessLog implements EventLog {
-  private readonly budgets = new Map<EventKind, Budget>()
+  private readonly rateWindows = new Map<EventKind, RateWindow>()
   private readonly output: ReturnType<typeof pino.destination>
   private readonly logger: ReturnType<typeof pino>
   private windowEndMs = 0
@@ -41,47 +42,47 @@
     this.output = pino.destination({
       fd: 1,
       sync: false,
-      minLength: writeBytes,
-      periodicFlush: writeEveryMs,
-      maxLength: bufferBytes
+      minLength: minWriteBytes,
+      periodicFlush: flushIntervalMs,
+      maxLength: maxBufferBytes
     })
     this.logger = pino({ base: { node, role } }, this.output)
   }
 
   event (kind: EventKind, fields: EventFields = {}): void {
     const nowMs = performance.now()
-    if (nowMs >= this.windowEndMs) this.startWindow(nowMs)
-    const budget = this.budgetOf(kind)
-    if (budget.lines >= kind.maxLinesPerSecond) {
-      budget.dropped++
+    if (nowMs >= this.windowEndMs) this.startRateWindows(nowMs)
+    const rateWindow = this.getRateWindow(kind)
+    if (rateWindow.written >= kind.maxLinesPerSecond) {
+      rateWindow.dropped++
       return
     }
-    budget.lines++
+    rateWindow.written++
     this.write(kind, fields)
   }
 
-  /// Writes what is still buffered.
+  /// Writes the buffered lines synchronously.
   flush (): void {
     try {
       this.output.flushSync()
     } catch {
-      // Standard output that was closed takes no more lines, and there is nowhere else to say so.
+      // Standard output is closed, and there is no other place to report that.
     }
   }
 
-  private startWindow (nowMs: number): void {
-    this.windowEndMs = nowMs + windowMs
-    for (const [kind, budget] of this.budgets) {
-      if (budget.dropped > 0) this.write(Events.linesDropped, { dropped: budget.dropped, of: kind.name })
-      budget.lines = 0
-      budget.dropped = 0
+  private startRateWindows (nowMs: number): void {
+    this.windowEndMs = nowMs + rateWindowMs
+    for (const [kind, rateWindow] of this.rateWindows) {
+      if (rateWindow.dropped > 0) this.write(Events.linesDropped, { dropped: rateWindow.dropped, of: kind.name })
+      rateWindow.written = 0
+      rateWindow.dropped = 0
     }
   }
 
-  private budgetOf (kind: EventKind): Budget {
-    let budget = this.budgets.get(kind)
-    if (budget === undefined) this.budgets.set(kind, budget = { lines: 0, dropped: 0 })
-    return budget
+  private getRateWindow (kind: EventKind): RateWindow {
+    let rateWindow = this.rateWindows.get(kind)
+    if (rateWindow === undefined) this.rateWindows.set(kind, rateWindow = { written: 0, dropped: 0 })
+    return rateWindow
   }
 
   private write (kind: EventKind, fields: EventFields): void {
@@ -89,12 +90,12 @@
   }
 }
 
-/// The message of anything thrown, with the kind of error, for a log line.
+/// Formats any thrown value for a log line: the name and message of an error.
 export function formatError (error: unknown): string {
   return error instanceof Error ? `${error.name}: ${error.message}` : String(error)
 }
 
-/// The message alone, where a reason or an error of another kind takes it up.
+/// Returns the message of any thrown value without the error's name, to be embedded in a reason or another error.
 export function errorMessage (error: unknown): string {
   return error instanceof Error ? error.message : String(error)
 }
--- a/process/metrics/src/metrics.ts
+++ b/process/metrics/src/metrics.ts
@@ -1,16 +1,16 @@
 import type { Histogram } from 'hdr-histogram-js'
-// The library's index also loads what writes log files, a seventh of a start's processor time.
+// The library's index also loads its log writers, which takes a seventh of the CPU time of a start.
 import { constructorFromBucketSize } from 'hdr-histogram-js/dist/JsHistogramFactory.js'
 
-const lowestMs = 1
-const highestMs = 60_000
+const minLatencyMs = 1
+const maxLatencyMs = 60_000
 const significantDigits = 2
 const bitsPerBucket = 32
 const LatencyHistogram = constructorFromBucketSize(bitsPerBucket)
-const quantiles = [50, 90, 99]
+const percentiles = [50, 90, 99]
 
-/// The counters and latency histograms of a process, written in the usual
-/// text exposition format. A counter's name may carry labels in braces.
+/// The counters, gauges and latency histograms of a process, in the Prometheus text exposition format. The name of a
+/// counter may contain labels in braces.
 export class Metrics {
   private readonly counters = new Map<string, number>()
   private readonly gauges = new Map<string, () => number>()
@@ -27,10 +27,10 @@
   observeMs (name: string, valueMs: number): void {
     let histogram = this.histograms.get(name)
     if (histogram === undefined) {
-      histogram = new LatencyHistogram(lowestMs, highestMs, significantDigits)
+      histogram = new LatencyHistogram(minLatencyMs, maxLatencyMs, significantDigits)
       this.histograms.set(name, histogram)
     }
-    histogram.recordValue(Math.min(Math.max(Math.round(valueMs), 0), highestMs))
+    histogram.recordValue(Math.min(Math.max(Math.round(valueMs), 0), maxLatencyMs))
   }
 
   toText (): string {
@@ -38,9 +38,9 @@
     for (const [name, value] of this.counters) lines.push(`chicorynotch_${name} ${value}`)
     for (const [name, read] of this.gauges) lines.push(`chicorynotch_${name} ${read()}`)
     for (const [name, histogram] of this.histograms) {
-      for (const quantile of quantiles) {
-        const value = histogram.getValueAtPercentile(quantile)
-        lines.push(`chicorynotch_${name}_ms{quantile="${quantile / 100}"} ${value}`)
+      for (const percentile of percentiles) {
+        const value = histogram.getValueAtPercentile(percentile)
+        lines.push(`chicorynotch_${name}_ms{quantile="${percentile / 100}"} ${value}`)
       }
       lines.push(`chicorynotch_${name}_ms_count ${histogram.totalCount}`)
     }
--- a/process/settings/src/settings.ts
+++ b/process/settings/src/settings.ts
@@ -1,26 +1,26 @@
 import { parse } from 'smol-toml'
 import * as z from 'zod/mini'
 
-/// The roles that one daemon can take.
+/// The roles that a daemon can run as.
 export const Role = { entry: 'entry', sidecar: 'sidecar', storage: 'storage' } as const
 
 export type Role = typeof Role[keyof typeof Role]
 
-const text = z.string().check(z.minLength(1))
+const nonEmptyString = z.string().check(z.minLength(1))
 const address = z.string().check(z.regex(/^[0-9a-zA-Z.-]+:\d{1,5}$/, 'an address has the form HOST:PORT'))
 const port = z.number().check(z.int(), z.minimum(0), z.maximum(65535))
 const durationMs = z.number().check(z.minimum(0))
 const count = z.number().check(z.int(), z.minimum(0))
 
-const schema = z.strictObject({
+const settingsSchema = z.strictObject({
   node: z.strictObject({
-    name: text,
+    name: nonEmptyString,
     role: z.enum(Object.values(Role)),
-    zone: text,
-    ip: text,
-    /// The whole system starts for the first time, on empty disks.
+    zone: nonEmptyString,
+    ip: nonEmptyString,
+    /// True for the first start of the whole system, with empty disks.
     first_start: z.boolean(),
-    /// Disks whose loss at the same time must lose nothing.
+    /// Number of disks that may be lost at the same time without data loss.
     tolerated_losses: count
   }),
   listen: z.strictObject({
@@ -31,24 +31,23 @@
     metrics_port: port
   }),
   store: z.strictObject({ address }),
-  storage: z.optional(z.strictObject({ data_dir: text, disk_mb: z.number().check(z.minimum(1)) })),
+  storage: z.optional(z.strictObject({ data_dir: nonEmptyString, disk_mb: z.number().check(z.minimum(1)) })),
   engine: z.optional(z.strictObject({ address })),
   timing: z.strictObject({
-    /// From SIGTERM to SIGKILL.
+    /// Time between SIGTERM and SIGKILL.
     stop_grace_ms: durationMs,
-    /// How long an instance that is leaving may still be sent calls.
+    /// How long an instance that is draining may still be sent calls.
     drain_ms: durationMs,
-    /// How long a storage disk that is new has to be complete.
+    /// Time in which a new storage disk must have copied all records.
     catch_up_ms: durationMs,
     heartbeat_ms: durationMs
   })
 })
 
-/// The settings of one process, as its file holds them.
-export type Settings = z.infer<typeof schema>
+/// The settings of one process, with the keys of its settings file.
+export type Settings = z.infer<typeof settingsSchema>
 
-/// A settings file that can't be used. Each fault names its key, what was
-/// found and what is allowed.
+/// A settings file is invalid. Each fault names the key, the value found and the allowed values.
 export class SettingsError extends Error {
   override readonly name = 'SettingsError'
 
@@ -57,7 +56,7 @@
   }
 }
 
-/// Reads and checks a settings file's whole text; throws `SettingsError`.
+/// Parses and validates the contents of a settings file. Throws `SettingsError`.
 export function parseSettings (file: string, toml: string): Settings {
   let table: unknown
   try {
@@ -65,14 +64,14 @@
   } catch (error) {
     throw new SettingsError(file, [error instanceof Error ? error.message.split('\n')[0]! : String(error)])
   }
-  const result = schema.safeParse(table)
-  if (!result.success) throw new SettingsError(file, result.error.issues.map(issue => describe(issue, table)))
-  const faults = roleFaults(result.data)
+  const result = settingsSchema.safeParse(table)
+  if (!result.success) throw new SettingsError(file, result.error.issues.map(issue => describeIssue(issue, table)))
+  const faults = findRoleFaults(result.data)
   if (faults.length > 0) throw new SettingsError(file, faults)
   return result.data
 }
 
-function roleFaults (settings: Settings): string[] {
+function findRoleFaults (settings: Settings): string[] {
   const { role } = settings.node
   const faults: string[] = []
   if (role === Role.entry && settings.listen.callers === undefined) faults.push('listen.callers: an entry needs an address')
@@ -82,17 +81,17 @@
   return faults
 }
 
-function describe (issue: z.core.$ZodIssue, table: unknown): string {
+function describeIssue (issue: z.core.$ZodIssue, table: unknown): string {
   const found = JSON.stringify(issue.path.reduce<unknown>(
-    (at, key) => (at as Record<PropertyKey, unknown> | undefined)?.[key],
+    (value, key) => (value as Record<PropertyKey, unknown> | undefined)?.[key],
     table
   ))
   const key = issue.path.join('.')
   if (issue.code === 'unrecognized_keys') return `${[key, issue.keys.join(', ')].filter(part => part !== '').join('.')}: unknown key`
-  return `${key}: found ${found ?? 'nothing'}: ${allowed(issue)}`
+  return `${key}: found ${found ?? 'nothing'}: ${describeAllowed(issue)}`
 }
 
-function allowed (issue: z.core.$ZodIssue): string {
+function describeAllowed (issue: z.core.$ZodIssue): string {
   if (issue.code === 'invalid_type') return `expected ${issue.expected}`
   if (issue.code === 'invalid_value') return `expected one of ${issue.values.join(', ')}`
   return issue.message
