--- a/process/entry/test/serve.test.ts
+++ b/process/entry/test/serve.test.ts
@@ -78,7 +78,7 @@
   expect(countExecutions(tools)).toBe(1)
 })
 
-test('a call refused by all instances is answered with 503 and retry-after', async () => {
+test('a call refused by all instances gets 503 with retry-after', async () => {
   injectFault(tools, UpstreamFault.full)
   const response = await call('/charge/1')
   expect(response.status).toBe(503)
@@ -86,7 +86,7 @@
   expect(countExecutions(tools)).toBe(0)
 })
 
-test('a call that exceeds its deadline after being sent is answered with 504', async () => {
+test('a call that exceeds its deadline after being sent gets 504', async () => {
   injectFault(tools, UpstreamFault.silent)
   expect((await call('/charge/1', { 'deadline-ms': '120' })).status).toBe(504)
 })
@@ -95,7 +95,7 @@
   ['no route', '/nowhere/1', {}, 404],
   ['another host', '/charge/1', { host: 'other.example' }, 404],
   ['an unknown previous turn', '/chat/1', { 'previous-turn': 'none' }, 404]
-])('%s is answered with an error without reaching an instance', async (_, path, headers, status) => {
+])('%s gets an error status without reaching an instance', async (_, path, headers, status) => {
   expect((await call(path, headers)).status).toBe(status)
   expect(countExecutions([...engines, ...tools])).toBe(0)
 })
@@ -160,13 +160,13 @@
 })
 
 test('engines above half of their slots accept turns of running programs, and refuse new programs with retry-after', async () => {
-  const inProgram = { 'program-id': 'p', 'session-id': 's', 'program-deadline-ms': '4000', 'token-budget': '500', 'token-usage': '40,40' }
-  const firstId = randomBytes(8).toString('hex')
-  expect((await call('/chat/1', { ...inProgram, 'attempt-id': firstId })).status).toBe(200)
+  const programHeaders = { 'program-id': 'p', 'session-id': 's', 'program-deadline-ms': '4000', 'token-budget': '500', 'token-usage': '40,40' }
+  const firstTurnId = randomBytes(8).toString('hex')
+  expect((await call('/chat/1', { ...programHeaders, 'attempt-id': firstTurnId })).status).toBe(200)
   for (const instance of entry.registry.readyInstances('models')) instance.running = 6
-  expect((await call('/chat/2', { ...inProgram, 'previous-turn': firstId })).status).toBe(200)
-  expect((await call('/chat/helper', { ...inProgram, 'session-id': 'h' })).status).toBe(200)
-  const refused = await call('/chat/1', { ...inProgram, 'program-id': 'q' })
+  expect((await call('/chat/2', { ...programHeaders, 'previous-turn': firstTurnId })).status).toBe(200)
+  expect((await call('/chat/helper', { ...programHeaders, 'session-id': 'h' })).status).toBe(200)
+  const refused = await call('/chat/1', { ...programHeaders, 'program-id': 'q' })
   expect(refused.status).toBe(503)
   expect(Number(refused.headers['retry-after'])).toBeGreaterThan(0)
   expect((await call('/chat/1', { 'token-usage': '40,40' })).status).toBe(200)
--- a/process/launcher/src/launcher.ts
+++ b/process/launcher/src/launcher.ts
@@ -3,7 +3,7 @@
 import { dirname, join } from 'node:path'
 import { Script } from 'node:vm'
 
-/// The function that Node's module wrapper makes of the bundle.
+/// The bundle, compiled inside Node's module wrapper.
 type ModuleWrapper =
   (exports: object, require: NodeJS.Require, module: object, filename: string, folder: string) => void
 
