--- a/process/placement/src/choice.ts
+++ b/process/placement/src/choice.ts
@@ -4,64 +4,65 @@
 import { estimateRunning } from '#process/instances'
 import type { Instance } from '#process/instances'
 
-/// What a call needs of an instance.
+/// What placement needs to know of a call to choose an instance for it.
 export interface PlacementRequest {
   readonly call: Call
   readonly service: string
   readonly engine: Engine | null
   /// 0 is the most urgent.
   readonly priority: number
-  /// Instances that have failed this call already.
+  /// Ids of instances that earlier attempts of this call used.
   readonly excluded: ReadonlySet<string>
-  /// The instance that ran the turn before, where that is known.
+  /// The instance that ran the previous turn; null if there is none or it is unknown.
   readonly previousInstanceId: string | null
-  /// The call goes on with a program that has generated tokens already.
+  /// False for a program's first turn as long as no instance has been sent it, true for all other calls.
   readonly isContinuing: boolean
-  /// How long it may wait for a place before it is refused.
+  /// How long the call may wait for a lease before it is refused.
   readonly maxWaitMs: number
-  /// On the runtime's monotonic clock.
+  /// On the monotonic clock of `performance.now()`.
   readonly deadlineMs: number
 }
 
 const prefillTokensPerMs = 299
-/// What one more running call costs each call there, by the service's kind.
-const engineLoadMs = 6
-const serviceLoadMs = 20
-const otherZoneMs = 6
-/// What an equal choice is worth: programs spread by their hash.
-const spreadMs = 4
+/// Expected delay per call that runs on the instance, for services with a model engine and for all others.
+const engineCallDelayMs = 6
+const serviceCallDelayMs = 20
+const crossZoneDelayMs = 6
+/// Upper bound of the hash offset, which spreads programs over instances that are otherwise equally suitable.
+const maxHashOffsetMs = 4
 
-/// Picks the instance with the least expected time: work that waits or runs
-/// there, tokens of the prompt that it has not read, and the way to it.
+/// Chooses the instance with the lowest estimated latency, given the calls that
+/// run or wait there, the prompt tokens that it has not cached and the network
+/// delay. Returns null if there are no candidates.
 export function chooseInstance (
   candidates: readonly Instance[],
-  need: PlacementRequest,
+  request: PlacementRequest,
   zone: string,
   nowMs: number
 ): Instance | null {
   let best: Instance | null = null
-  let bestMs = Infinity
+  let bestLatencyMs = Infinity
   for (const instance of candidates) {
-    const costMs = expectedMs(instance, need, zone, nowMs)
-    if (costMs >= bestMs) continue
+    const latencyMs = estimateLatencyMs(instance, request, zone, nowMs)
+    if (latencyMs >= bestLatencyMs) continue
     best = instance
-    bestMs = costMs
+    bestLatencyMs = latencyMs
   }
   return best
 }
 
-function expectedMs (instance: Instance, need: PlacementRequest, zone: string, nowMs: number): number {
+function estimateLatencyMs (instance: Instance, request: PlacementRequest, zone: string, nowMs: number): number {
   const running = estimateRunning(instance, nowMs)
-  const key = need.call.program?.id ?? need.call.id
-  const loadMs = running * (need.engine === null ? serviceLoadMs : engineLoadMs)
-  const wayMs = instance.description.zone === zone ? 0 : otherZoneMs
-  const spread = unitHash(`${key}/${instance.description.id}`) * spreadMs
-  return loadMs + wayMs + spread + uncachedTokens(instance, need) / prefillTokensPerMs
+  const hashKey = request.call.program?.id ?? request.call.id
+  const loadMs = running * (request.engine === null ? serviceCallDelayMs : engineCallDelayMs)
+  const networkDelayMs = instance.description.zone === zone ? 0 : crossZoneDelayMs
+  const hashOffsetMs = unitHash(`${hashKey}/${instance.description.id}`) * maxHashOffsetMs
+  return loadMs + networkDelayMs + hashOffsetMs + countUncachedTokens(instance, request) / prefillTokensPerMs
 }
 
-/// The tokens of the prompt that the instance would have to read.
-function uncachedTokens (instance: Instance, need: PlacementRequest): number {
-  const { prefix, usage } = need.call
+/// Prompt tokens that the instance would have to process because it has not cached them.
+function countUncachedTokens (instance: Instance, request: PlacementRequest): number {
+  const { prefix, usage } = request.call
   let total = usage?.promptTokens ?? 0
   if (prefix.length > 0) total = prefix.reduce((sum, part) => sum + part.tokens, 0)
   if (total === 0) return 0
@@ -70,9 +71,9 @@
     if (!instance.cachedParts.has(part.id)) break
     cached += part.tokens
   }
-  if (need.previousInstanceId === instance.description.id) cached = Math.max(cached, total * previousShare)
+  if (request.previousInstanceId === instance.description.id) cached = Math.max(cached, total * historyShare)
   return total - cached
 }
 
-/// How much of a prompt is usually the conversation so far.
-const previousShare = 0.9
+/// Usual share of the conversation so far in a prompt. The instance of the previous turn has it cached.
+const historyShare = 0.9
--- a/process/placement/src/placement.ts
+++ b/process/placement/src/placement.ts
@@ -6,37 +6,40 @@
 import { chooseInstance } from './choice.js'
 import type { PlacementRequest } from './choice.js'
 
-/// A place at an instance, until it is released.
+/// The right to run one call on an instance, held until it is released.
 export interface InstanceLease {
   readonly instance: Instance
+  /// Only the first call has an effect.
   release (): void
 }
 
-interface Waiter {
-  readonly need: PlacementRequest
-  readonly since: number
-  resolve (place: InstanceLease): void
+interface QueueEntry {
+  readonly request: PlacementRequest
+  readonly queuedAtMs: number
+  resolve (lease: InstanceLease): void
   reject (error: RefusedError): void
 }
 
-const recheckMs = 15
-const noInstanceRetryMs = 300
-const overloadRetryMs = 150
-/// Calls that may wait at once; more are refused at once.
-const maxWaiting = 400
-/// Ageing: a waiting call counts as one rank more urgent after this time.
-const rankAgeMs = 400
-/// A program that runs is worth its credit only once it ends: one that hasn't begun waits behind as many ranks.
-const newProgramRanks = 1
-/// A new program is begun only below this share of an instance's slots: the rest is for the turns of those that run.
-const newProgramShare = 0.55
-/// Calls of an instance beyond its slots, so that it never idles between two.
-const slackCalls = 1
-
-/// Gives calls their places at instances: at once where one is free, else in
-/// the order of their urgency.
+const queueIntervalMs = 15
+const noInstanceRetryAfterMs = 300
+const overloadedRetryAfterMs = 150
+/// Calls that don't fit into the queue are refused immediately.
+const maxQueueLength = 400
+/// Aging: a queued call gains one rank of urgency each time this interval has passed.
+const agingIntervalMs = 400
+/// Ranks by which the first turn of a program comes after turns of running programs: a program earns its credit
+/// only when it completes, so those that have started are completed first.
+const newProgramRankPenalty = 1
+/// New programs start only on instances that use less than this share of their slots. The rest is reserved for
+/// turns of programs that are running.
+const newProgramSlotShare = 0.55
+/// Calls that an instance is sent beyond its slots, so that it doesn't idle between two calls.
+const extraCalls = 1
+
+/// Assigns calls to instances: immediately if one has capacity, otherwise in
+/// order of urgency as capacity becomes free.
 export class Placement {
-  private readonly waiters: Waiter[] = []
+  private readonly queue: QueueEntry[] = []
   private timer: ReturnType<typeof setInterval> | null = null
 
   constructor (
@@ -46,81 +49,90 @@
   ) {}
 
   get queueLength (): number {
-    return this.waiters.length
+    return this.queue.length
   }
 
-  /// Rejects with `RefusedError` where no instance may take the call in time.
-  acquire (need: PlacementRequest, signal: AbortSignal): Promise<InstanceLease> {
+  /// Resolves when an instance has capacity for the call. Rejects with
+  /// `RefusedError` if no instance is left to try, if the queue is full, if the
+  /// call has waited for `maxWaitMs`, or when `signal` is aborted meanwhile.
+  acquire (request: PlacementRequest, signal: AbortSignal): Promise<InstanceLease> {
     const nowMs = performance.now()
-    const isBehind = this.waiters.some(waiter => {
-      return waiter.need.service === need.service && rank(waiter, nowMs) <= rankOf(need)
+    const mustQueue = this.queue.some(entry => {
+      return entry.request.service === request.service && getAgedRank(entry, nowMs) <= getBaseRank(request)
     })
-    const candidates = this.candidates(need)
-    const found = isBehind ? null : this.tryPlace(candidates, need, nowMs)
-    if (found !== null) return Promise.resolve(found)
-    if (candidates.length === 0) return Promise.reject(refusedWithoutInstance(need.service))
-    if (this.waiters.length >= maxWaiting) return Promise.reject(refusedForLoad(need.service))
-    return this.wait(need, nowMs, signal)
+    const candidates = this.findCandidates(request)
+    const lease = mustQueue ? null : this.tryAcquire(candidates, request, nowMs)
+    if (lease !== null) return Promise.resolve(lease)
+    if (candidates.length === 0) return Promise.reject(createNoInstanceError(request.service))
+    if (this.queue.length >= maxQueueLength) return Promise.reject(createOverloadedError(request.service))
+    return this.enqueue(request, nowMs, signal)
   }
 
-  /// Lets waiting calls go where places have become free.
+  /// Assigns queued calls to instances with free capacity. Refuses those that
+  /// have waited for too long and those without an instance left to try.
   processQueue (): void {
     const nowMs = performance.now()
-    this.waiters.sort((a, b) => rank(a, nowMs) - rank(b, nowMs) || slackOf(a.need) - slackOf(b.need))
-    for (const waiter of [...this.waiters]) this.settle(waiter, nowMs)
-    if (this.waiters.length === 0 && this.timer !== null) {
+    this.queue.sort((a, b) => getAgedRank(a, nowMs) - getAgedRank(b, nowMs) ||
+      getDeadlineMs(a.request) - getDeadlineMs(b.request))
+    for (const entry of [...this.queue]) this.processEntry(entry, nowMs)
+    if (this.queue.length === 0 && this.timer !== null) {
       clearInterval(this.timer)
       this.timer = null
     }
   }
 
-  private wait (need: PlacementRequest, nowMs: number, signal: AbortSignal): Promise<InstanceLease> {
-    this.log.event(Events.callWaiting, { callId: need.call.id, service: need.service, waiting: this.waiters.length })
+  private enqueue (request: PlacementRequest, nowMs: number, signal: AbortSignal): Promise<InstanceLease> {
+    this.log.event(Events.callWaiting, {
+      callId: request.call.id,
+      service: request.service,
+      waiting: this.queue.length
+    })
     return new Promise((resolve, reject) => {
-      const waiter = { need, since: nowMs, resolve, reject }
-      this.waiters.push(waiter)
+      const entry = { request, queuedAtMs: nowMs, resolve, reject }
+      this.queue.push(entry)
       signal.addEventListener('abort', () => {
-        if (this.forget(waiter)) reject(new RefusedError(Refusal.timedOut, Verdict.notRun, 'the caller left while the call waited'))
+        if (this.dequeue(entry)) reject(new RefusedError(Refusal.timedOut, Verdict.notRun, 'aborted while queued for an instance'))
       }, { once: true })
-      this.timer ??= setInterval(() => this.processQueue(), recheckMs)
+      this.timer ??= setInterval(() => this.processQueue(), queueIntervalMs)
     })
   }
 
-  private settle (waiter: Waiter, nowMs: number): void {
-    const { need } = waiter
-    const candidates = this.candidates(need)
-    const place = this.tryPlace(candidates, need, nowMs)
-    if (place !== null) {
-      this.forget(waiter)
-      waiter.resolve(place)
+  private processEntry (entry: QueueEntry, nowMs: number): void {
+    const { request } = entry
+    const candidates = this.findCandidates(request)
+    const lease = this.tryAcquire(candidates, request, nowMs)
+    if (lease !== null) {
+      this.dequeue(entry)
+      entry.resolve(lease)
     } else if (candidates.length === 0) {
-      this.forget(waiter)
-      waiter.reject(refusedWithoutInstance(need.service))
-    } else if (nowMs - waiter.since > need.maxWaitMs) {
-      this.forget(waiter)
-      waiter.reject(refusedForLoad(need.service))
+      this.dequeue(entry)
+      entry.reject(createNoInstanceError(request.service))
+    } else if (nowMs - entry.queuedAtMs > request.maxWaitMs) {
+      this.dequeue(entry)
+      entry.reject(createOverloadedError(request.service))
     }
   }
 
-  private forget (waiter: Waiter): boolean {
-    const at = this.waiters.indexOf(waiter)
-    if (at >= 0) this.waiters.splice(at, 1)
-    return at >= 0
+  private dequeue (entry: QueueEntry): boolean {
+    const index = this.queue.indexOf(entry)
+    if (index >= 0) this.queue.splice(index, 1)
+    return index >= 0
   }
 
-  private tryPlace (candidates: readonly Instance[], need: PlacementRequest, nowMs: number): InstanceLease | null {
-    const trusted = candidates.filter(instance => instance.suspectUntilMs <= nowMs)
-    const open = (trusted.length > 0 ? trusted : candidates).filter(instance => hasRoom(instance, need, nowMs))
-    const instance = chooseInstance(open, need, this.zone, nowMs)
-    return instance === null ? null : this.take(instance)
+  private tryAcquire (candidates: readonly Instance[], request: PlacementRequest, nowMs: number): InstanceLease | null {
+    const healthy = candidates.filter(instance => instance.suspectUntilMs <= nowMs)
+    const available = (healthy.length > 0 ? healthy : candidates)
+      .filter(instance => hasCapacity(instance, request, nowMs))
+    const instance = chooseInstance(available, request, this.zone, nowMs)
+    return instance === null ? null : this.grantLease(instance)
   }
 
-  private candidates (need: PlacementRequest): Instance[] {
-    return [...this.registry.readyInstances(need.service)]
-      .filter(instance => !need.excluded.has(instance.description.id))
+  private findCandidates (request: PlacementRequest): Instance[] {
+    return [...this.registry.readyInstances(request.service)]
+      .filter(instance => !request.excluded.has(instance.description.id))
   }
 
-  private take (instance: Instance): InstanceLease {
+  private grantLease (instance: Instance): InstanceLease {
     instance.running++
     let isHeld = true
     return {
@@ -129,34 +141,47 @@
         if (!isHeld) return
         isHeld = false
         instance.running--
-        if (this.waiters.length > 0) queueMicrotask(() => this.processQueue())
+        if (this.queue.length > 0) queueMicrotask(() => this.processQueue())
       }
     }
   }
 }
 
-function hasRoom (instance: Instance, need: PlacementRequest, nowMs: number): boolean {
+function hasCapacity (instance: Instance, request: PlacementRequest, nowMs: number): boolean {
   const { slots } = instance.description
-  const places = need.isContinuing ? slots + slackCalls : slots * newProgramShare
-  return estimateRunning(instance, nowMs) < places
+  const capacity = request.isContinuing ? slots + extraCalls : slots * newProgramSlotShare
+  return estimateRunning(instance, nowMs) < capacity
 }
 
-function rank (waiter: Waiter, nowMs: number): number {
-  return rankOf(waiter.need) - Math.floor((nowMs - waiter.since) / rankAgeMs)
+function getAgedRank (entry: QueueEntry, nowMs: number): number {
+  return getBaseRank(entry.request) - Math.floor((nowMs - entry.queuedAtMs) / agingIntervalMs)
 }
 
-function rankOf (need: PlacementRequest): number {
-  return need.priority + (need.isContinuing ? 0 : newProgramRanks)
+function getBaseRank (request: PlacementRequest): number {
+  return request.priority + (request.isContinuing ? 0 : newProgramRankPenalty)
 }
 
-function slackOf (need: PlacementRequest): number {
-  return need.call.program === null ? need.deadlineMs : need.call.receivedAtMs + need.call.program.remainingMs
+/// The deadline of the call's program, or of the call itself if it belongs to none.
+function getDeadlineMs (request: PlacementRequest): number {
+  return request.call.program === null
+    ? request.deadlineMs
+    : request.call.receivedAtMs + request.call.program.remainingMs
 }
 
-function refusedWithoutInstance (service: string): RefusedError {
-  return new RefusedError(Refusal.noInstance, Verdict.notRun, `no instance of ${service} is known that could run it`, noInstanceRetryMs)
+function createNoInstanceError (service: string): RefusedError {
+  return new RefusedError(
+    Refusal.noInstance,
+    Verdict.notRun,
+    `service ${service} has no ready instance that this call has not tried`,
+    noInstanceRetryAfterMs
+  )
 }
 
-function refusedForLoad (service: string): RefusedError {
-  return new RefusedError(Refusal.overloaded, Verdict.notRun, `the instances of ${service} are full`, overloadRetryMs)
+function createOverloadedError (service: string): RefusedError {
+  return new RefusedError(
+    Refusal.overloaded,
+    Verdict.notRun,
+    `no instance of service ${service} has capacity for the call`,
+    overloadedRetryAfterMs
+  )
 }
--- a/process/placement/test/placement.test.ts
+++ b/process/placement/test/placement.test.ts
@@ -25,7 +25,7 @@
 
 afterEach(() => { vi.useRealTimers() })
 
-function need (id: string, fields: Partial<PlacementRequest> = {}, remainingMs = 5000): PlacementRequest {
+function createRequest (id: string, fields: Partial<PlacementRequest> = {}, remainingMs = 5000): PlacementRequest {
   const call = createCall(id, { program: { id, sessionId: id, remainingMs, tokenBudget: null } })
   return {
     call,
@@ -43,50 +43,50 @@
 
 const signal = new AbortController().signal
 
-/// Takes all places: one beyond its slot at each instance.
-async function fill (): Promise<InstanceLease[]> {
-  const places: InstanceLease[] = []
-  for (let i = 0; i < 4; i++) places.push(await placement.acquire(need(`x${i}`), signal))
-  return places
+/// Acquires all leases: each of the two instances takes one call more than its single slot.
+async function acquireAll (): Promise<InstanceLease[]> {
+  const leases: InstanceLease[] = []
+  for (let i = 0; i < 4; i++) leases.push(await placement.acquire(createRequest(`x${i}`), signal))
+  return leases
 }
 
 const instance = (id: string): Instance => registry.get(id)!
 
-test('full instances are waited for: urgent first, then the program that ends first', async () => {
-  const held = await fill()
+test('queued calls are placed by priority, then by the earliest deadline of their program', async () => {
+  const leases = await acquireAll()
   const order: string[] = []
-  const wait = (id: string, fields: Partial<PlacementRequest>, remainingMs: number): void => {
-    placement.acquire(need(id, fields, remainingMs), signal).then(place => {
+  const enqueue = (id: string, fields: Partial<PlacementRequest>, remainingMs: number): void => {
+    placement.acquire(createRequest(id, fields, remainingMs), signal).then(lease => {
       order.push(id)
-      place.release()
+      lease.release()
     }, () => { order.push(`refused ${id}`) })
   }
-  wait('relaxed', {}, 3000)
-  wait('pressed', {}, 1000)
-  wait('urgent', { priority: 0 }, 3000)
-  held[0]!.release()
+  enqueue('relaxed', {}, 3000)
+  enqueue('pressed', {}, 1000)
+  enqueue('urgent', { priority: 0 }, 3000)
+  leases[0]!.release()
   await vi.advanceTimersByTimeAsync(50)
   expect(order).toEqual(['urgent', 'pressed', 'relaxed'])
 })
 
-test('a call that has waited too long is refused as not run, with a time to come back', async () => {
-  await fill()
-  const refused = placement.acquire(need('x3'), signal).catch((error: unknown) => error)
+test('a call that waits longer than maxWaitMs is refused with status 503 and verdict not-run', async () => {
+  await acquireAll()
+  const refused = placement.acquire(createRequest('x3'), signal).catch((error: unknown) => error)
   await vi.advanceTimersByTimeAsync(2500)
   expect(await refused).toMatchObject({ refusal: 'overloaded', verdict: 'not-run', status: 503 })
 })
 
 test.each([
   ['the first turn of a program', false, 'refused'],
-  ['a turn of a program that runs', true, 'placed']
-])('%s at engines that are over half full: %s', async (_, isContinuing, expected) => {
+  ['a turn of a running program', true, 'placed']
+])('with more than 55 % of the slots in use, %s (isContinuing: %s) is %s', async (_, isContinuing, expected) => {
   for (const id of ['a', 'b']) {
     const { description } = instance(id)
     instance(id).description = { ...description, slots: 10 }
     instance(id).running = 6
   }
   let outcome = 'waits'
-  placement.acquire(need('x', { isContinuing, maxWaitMs: 25 }), signal).then(() => { outcome = 'placed' }, error => {
+  placement.acquire(createRequest('x', { isContinuing, maxWaitMs: 25 }), signal).then(() => { outcome = 'placed' }, error => {
     expect(error).toMatchObject({ refusal: 'overloaded', verdict: 'not-run', status: 503 })
     outcome = 'refused'
   })
@@ -95,53 +95,53 @@
 })
 
 test('a running program\'s turn is placed before an equally urgent new program', async () => {
-  const held = await fill()
+  const leases = await acquireAll()
   const order: string[] = []
   for (const [id, isContinuing] of [['new', false], ['running', true]] as const) {
-    placement.acquire(need(id, { isContinuing }), signal).then(place => {
+    placement.acquire(createRequest(id, { isContinuing }), signal).then(lease => {
       order.push(id)
-      place.release()
+      lease.release()
     }, () => {})
   }
-  for (const place of held) place.release()
+  for (const lease of leases) lease.release()
   await vi.advanceTimersByTimeAsync(50)
   expect(order).toEqual(['running', 'new'])
 })
 
-test('without an instance a call is refused at once', async () => {
+test('a call is refused immediately if every instance is excluded', async () => {
   const excluded = new Set(['a', 'b'])
-  await expect(placement.acquire(need('x', { excluded }), signal)).rejects.toMatchObject({ refusal: 'no-instance' })
+  await expect(placement.acquire(createRequest('x', { excluded }), signal)).rejects.toMatchObject({ refusal: 'no-instance' })
 })
 
-test('a caller that leaves waits no longer', async () => {
-  await fill()
+test('a call aborted in the queue is removed from it and refused as not run', async () => {
+  await acquireAll()
   const stop = new AbortController()
-  const waiting = placement.acquire(need('x3'), stop.signal).catch((error: unknown) => error)
+  const waiting = placement.acquire(createRequest('x3'), stop.signal).catch((error: unknown) => error)
   stop.abort()
   expect(await waiting).toMatchObject({ verdict: 'not-run' })
   expect(placement.queueLength).toBe(0)
 })
 
-test('an instance that failed is avoided for a while, not for ever', async () => {
+test('an instance that failed is avoided only while it is suspected', async () => {
   recordFailure(instance('a'), performance.now())
-  expect((await placement.acquire(need('x'), signal)).instance).toBe(instance('b'))
+  expect((await placement.acquire(createRequest('x'), signal)).instance).toBe(instance('b'))
   await vi.advanceTimersByTimeAsync(400)
-  expect((await placement.acquire(need('y'), signal)).instance).toBe(instance('a'))
+  expect((await placement.acquire(createRequest('y'), signal)).instance).toBe(instance('a'))
 })
 
-test('what others have there fades with its age', () => {
+test('the estimated load from other processes decays with its age', () => {
   recordLoad(instance('a'), { running: 3, waiting: 1, slots: 4 }, 1000)
   expect(estimateRunning(instance('a'), 1000)).toBe(4)
   expect(estimateRunning(instance('a'), 1400)).toBe(2)
 })
 
 test.each<[string, (a: Instance, b: Instance) => void, Partial<PlacementRequest>, string]>([
-  ['the own zone, all else equal', () => {}, {}, 'a'],
-  ['the less loaded one', a => { a.running = 3 }, {}, 'b'],
-  ['the one that ran the turn before', () => {}, { previousInstanceId: 'b' }, 'b']
+  ['the instance in the own zone if all else is equal', () => {}, {}, 'a'],
+  ['the less loaded instance', a => { a.running = 3 }, {}, 'b'],
+  ['the instance that ran the previous turn', () => {}, { previousInstanceId: 'b' }, 'b']
 ])('chooses %s', (_, prepare, fields, expected) => {
   prepare(instance('a'), instance('b'))
-  const base = need('x', fields)
+  const base = createRequest('x', fields)
   const sized = { ...base, call: { ...base.call, usage: { promptTokens: 12_000, maxOutputTokens: 100 } } }
   expect(chooseInstance([instance('a'), instance('b')], sized, 'z0', 0)?.description.id).toBe(expected)
 })
