--- a/request/forward/src/attempt.ts
+++ b/request/forward/src/attempt.ts
@@ -7,24 +7,24 @@
 import type { EventLog } from '#process/log'
 import type { Instance } from '#process/instances'
 
-/// How one sending to one instance ended.
+/// How an attempt to run a call on an instance ended.
 export type AttemptResult =
   | { readonly kind: 'answer', readonly head: ResponseHead, readonly body: Buffer }
-  /// A stream whose events all went to the listener came to its end.
+  /// The stream ended and all its events were passed to the listener.
   | { readonly kind: 'stream-ended' }
-  /// The instance promises that it did not run the call.
+  /// The instance guarantees that it did not run the call.
   | { readonly kind: 'not-run', readonly status: number }
   /// No byte of the call has left this process.
   | { readonly kind: 'unsent', readonly reason: string }
-  /// The call may have run.
+  /// The attempt failed after the call was sent, so it may have run.
   | { readonly kind: 'broken', readonly reason: string }
 
-/// Receives the answer of an attempt that is a stream.
+/// Receives the response to an attempt if it is an event stream.
 export interface StreamListener {
-  /// Throws where the stream can't be the rest of what came before.
+  /// Throws if the stream doesn't continue what the caller has received so far; so does `onData`.
   onHead (head: ResponseHead): void
   onData (chunk: Buffer): void
-  /// Whether what came so far may be an end.
+  /// Whether the stream may end here, that is, not within an event.
   isComplete (): boolean
 }
 
@@ -34,19 +34,21 @@
   readonly codec: HeaderCodec
   readonly body: Buffer
   readonly remainingMs: number
+  /// Id of the last event that the caller has received, -1 for none.
   readonly lastEventId: number
-  /// Null for calls whose answer is collected whole.
+  /// Null if the response is to be collected as a whole.
   readonly listener: StreamListener | null
-  /// Ends the attempt; the reason names why.
+  /// Aborts the attempt; its reason becomes that of the result.
   readonly signal: AbortSignal
-  /// The attempt ends where nothing has come for this long; 0 for never.
+  /// The attempt fails if no data arrives for this long; 0 for no limit.
   readonly idleTimeoutMs: number
   readonly log: EventLog
 }
 
+/// Misdirected Request: the instance is not the expected one and did not run the call.
 const statusMisdirected = 421
 
-/// Sends a call to an instance and follows the answer. Never rejects.
+/// Sends a call to an instance and receives the response. Never rejects.
 export function attempt (request: AttemptRequest): Promise<AttemptResult> {
   return new Promise(resolve => {
     new Attempt(request, resolve).start()
@@ -57,9 +59,9 @@
   private readonly chunks: Buffer[] = []
   private head: ResponseHead | null = null
   private isStream = false
-  private sending: InFlightRequest | null = null
-  private silence: ReturnType<typeof setTimeout> | null = null
-  private isOver = false
+  private inFlight: InFlightRequest | null = null
+  private idleTimer: ReturnType<typeof setTimeout> | null = null
+  private isFinished = false
 
   constructor (private readonly request: AttemptRequest, private readonly resolve: (result: AttemptResult) => void) {}
 
@@ -68,9 +70,9 @@
     if (signal.aborted) return this.finish({ kind: 'unsent', reason: String(signal.reason) })
     const headers = codec.writeDispatch(call, { instanceId: instance.description.id, remainingMs, lastEventId })
     signal.addEventListener('abort', this.onAbort, { once: true })
-    this.restartSilence()
+    this.restartIdleTimer()
     try {
-      this.sending = instance.client.send({ method: call.method, path: call.path, headers, body }, this)
+      this.inFlight = instance.client.send({ method: call.method, path: call.path, headers, body }, this)
     } catch (error) {
       this.onError(new UpstreamError(errorMessage(error), false))
     }
@@ -78,10 +80,10 @@
 
   onHead (head: ResponseHead): void {
     const { call, codec, instance, listener } = this.request
-    this.restartSilence()
+    this.restartIdleTimer()
     const fields = codec.readResponse(head)
-    const fault = faultOf(fields, head, call)
-    if (fault !== null) return this.breakOff(fault)
+    const problem = findResponseProblem(fields, head, call)
+    if (problem !== null) return this.fail(problem)
     if (fields.load !== null) recordLoad(instance, fields.load, performance.now())
     recordSuccess(instance)
     this.head = head
@@ -91,13 +93,13 @@
     try {
       listener!.onHead(head)
     } catch (error) {
-      this.breakOff(errorMessage(error))
+      this.fail(errorMessage(error))
     }
   }
 
   onData (chunk: Buffer): void {
-    if (this.isOver) return
-    this.restartSilence()
+    if (this.isFinished) return
+    this.restartIdleTimer()
     if (!this.isStream) {
       this.chunks.push(chunk)
       return
@@ -105,33 +107,33 @@
     try {
       this.request.listener!.onData(chunk)
     } catch (error) {
-      this.breakOff(errorMessage(error))
+      this.fail(errorMessage(error))
     }
   }
 
   onEnd (): void {
-    if (this.isOver) return
-    if (this.head === null) this.breakOff('the answer has no head')
+    if (this.isFinished) return
+    if (this.head === null) this.fail('response ended before its head')
     else if (!this.isStream) this.finish({ kind: 'answer', head: this.head, body: Buffer.concat(this.chunks) })
     else if (this.request.listener!.isComplete()) this.finish({ kind: 'stream-ended' })
-    else this.breakOff('the stream ended within an event')
+    else this.fail('stream ended within an event')
   }
 
   onError (error: UpstreamError): void {
-    if (this.isOver) return
-    this.suspect(error.message)
+    if (this.isFinished) return
+    this.markSuspected(error.message)
     this.finish({ kind: error.mayHaveRun ? 'broken' : 'unsent', reason: error.message })
   }
 
-  private readonly onAbort = (): void => this.breakOff(String(this.request.signal.reason))
+  private readonly onAbort = (): void => this.fail(String(this.request.signal.reason))
 
-  private breakOff (reason: string): void {
-    const isSent = this.sending?.isSent ?? false
+  private fail (reason: string): void {
+    const isSent = this.inFlight?.isSent ?? false
     this.finish({ kind: isSent ? 'broken' : 'unsent', reason })
-    this.sending?.abort()
+    this.inFlight?.abort()
   }
 
-  private suspect (reason: string): void {
+  private markSuspected (reason: string): void {
     const { instance, call, log } = this.request
     const suspicionMs = recordFailure(instance, performance.now())
     const { id, address } = instance.description
@@ -145,32 +147,32 @@
     })
   }
 
-  private restartSilence (): void {
-    const { idleTimeoutMs: silenceMs } = this.request
-    if (silenceMs === 0) return
-    if (this.silence !== null) clearTimeout(this.silence)
-    this.silence = setTimeout(() => {
-      this.suspect('silent')
-      this.breakOff(`silent for ${silenceMs} ms`)
-    }, silenceMs)
+  private restartIdleTimer (): void {
+    const { idleTimeoutMs } = this.request
+    if (idleTimeoutMs === 0) return
+    if (this.idleTimer !== null) clearTimeout(this.idleTimer)
+    this.idleTimer = setTimeout(() => {
+      this.markSuspected('silent')
+      this.fail(`no data received for ${idleTimeoutMs} ms`)
+    }, idleTimeoutMs)
   }
 
   private finish (result: AttemptResult): void {
-    if (this.isOver) return
-    this.isOver = true
-    if (this.silence !== null) clearTimeout(this.silence)
+    if (this.isFinished) return
+    this.isFinished = true
+    if (this.idleTimer !== null) clearTimeout(this.idleTimer)
     this.request.signal.removeEventListener('abort', this.onAbort)
     this.resolve(result)
   }
 }
 
-/// Why an answer can't be this call's, or null.
-function faultOf (fields: ResponseFields, head: ResponseHead, call: Call): string | null {
-  if (fields.callId !== null && fields.callId !== call.id) return `the answer is to ${fields.callId}`
+/// Returns why a response can't be accepted for the call, or null if it can.
+function findResponseProblem (fields: ResponseFields, head: ResponseHead, call: Call): string | null {
+  if (fields.callId !== null && fields.callId !== call.id) return `response is for call ${fields.callId}`
   if (fields.isNotRun || head.status === statusMisdirected) return null
-  if (fields.callId === null) return 'the answer names no call'
-  if (fields.isEncoded) return 'the answer is encoded'
-  if (head.status < 300 && !fields.isSigned) return 'the answer is not signed'
+  if (fields.callId === null) return 'response has no call id'
+  if (fields.isEncoded) return 'response has a content encoding'
+  if (head.status < 300 && !fields.isSigned) return 'response is not signed'
   return null
 }
 
--- a/request/forward/src/context.ts
+++ b/request/forward/src/context.ts
@@ -6,7 +6,7 @@
 import type { Metrics } from '#process/metrics'
 import type { Placement } from '#process/placement'
 
-/// What forwarding needs of its process.
+/// Components of the process that forwarding uses.
 export interface ForwardContext {
   readonly codec: HeaderCodec
   readonly placement: Placement
@@ -16,30 +16,32 @@
   readonly metrics: Metrics
 }
 
-/// A call with all that decides how it is served.
+/// A call with its route and limits.
 export interface RoutedCall {
   readonly call: Call
   readonly route: Route
+  /// Null if the configuration doesn't describe the service.
   readonly service: Service | null
   readonly serviceName: string
   readonly configVersion: number
   readonly body: Buffer
-  /// On the runtime's monotonic clock: the caller's patience or the route's timeout.
+  /// When the caller's or the route's timeout ends, whichever is earlier; on the monotonic clock of
+  /// `performance.now()`.
   readonly deadlineMs: number
-  /// Aborted when the caller has left or the deadline has passed.
+  /// Aborted with an `AbortReason` when the caller disconnects or the deadline passes.
   readonly signal: AbortSignal
 }
 
-/// The caller's side of an answer.
+/// The response to the caller: either `respond`, or `startResponse`, `write` and `end`.
 export interface CallerResponse {
   respond (head: ResponseHead, body: Buffer): void
   startResponse (head: ResponseHead): void
   write (bytes: Buffer): void
   end (): void
-  /// Closes the connection, so that the answer can't be taken for a whole one.
+  /// Closes the connection, so that the caller can't take a truncated response for a complete one.
   abort (): void
   readonly hasStarted: boolean
 }
 
-/// Why a call's signal was aborted.
+/// Why the signal of a routed call was aborted.
 export const AbortReason = { callerDisconnected: 'caller-left', deadline: 'deadline' } as const
--- a/request/forward/src/dispatcher.ts
+++ b/request/forward/src/dispatcher.ts
@@ -6,90 +6,95 @@
 import { AbortReason } from './context.js'
 import type { ForwardContext, RoutedCall } from './context.js'
 
-/// What only some calls ask of the place that they go to.
-export interface PlaceWish {
+/// The fields of a placement request that depend on the kind of call.
+export interface LeaseOptions {
   readonly previousInstanceId: string | null
   readonly isContinuing: boolean
   readonly maxWaitMs: number
 }
 
-/// What is sent to the place that was found.
-export interface Sending {
+/// What one attempt sends, and how its response is received.
+export interface AttemptOptions {
   readonly body: Buffer
   readonly lastEventId: number
   readonly listener: StreamListener | null
   readonly idleTimeoutMs: number
-  /// Further inputs of the decision, for the log.
+  /// Further fields of the log line for the dispatch.
   readonly details: Readonly<Record<string, unknown>>
 }
 
-const maxUnsentTries = 4
-const fullRetryMs = 100
+const maxUnsentAttempts = 4
+const failedRetryAfterMs = 100
 
-/// The sendings of one call: to which instances it went, whether it may have
-/// run there, and whether it may go to another one.
-export class Tries {
-  sent = 0
+/// Sends one call to one or more instances. Tracks which instances were used,
+/// whether the call may have run and whether it may be retried.
+export class CallDispatcher {
+  sentCount = 0
   mayHaveRun = false
-  private unsent = 0
-  private readonly excluded = new Set<string>()
+  private unsentCount = 0
+  private readonly usedInstanceIds = new Set<string>()
 
   constructor (private readonly routed: RoutedCall, private readonly context: ForwardContext) {}
 
-  /// Rejects with `RefusedError` where no instance may take the call in time.
-  findPlace (wish: PlaceWish): Promise<InstanceLease> {
+  /// Rejects with `RefusedError` if no instance can take the call in time.
+  acquireLease (options: LeaseOptions): Promise<InstanceLease> {
     const { call, serviceName, service, route, deadlineMs, signal } = this.routed
     return this.context.placement.acquire({
       call,
       service: serviceName,
       engine: service?.engine ?? null,
       priority: route.priority,
-      excluded: this.excluded,
+      excluded: this.usedInstanceIds,
       deadlineMs,
-      ...wish
+      ...options
     }, signal)
   }
 
-  /// Sends the call to a place, which is free again afterwards. Never rejects.
-  async send (place: InstanceLease, sending: Sending): Promise<AttemptResult> {
+  /// Sends the call to the leased instance, then releases the lease. Never rejects.
+  async send (lease: InstanceLease, options: AttemptOptions): Promise<AttemptResult> {
     const { routed, context } = this
-    const { details, ...sent } = sending
-    const { instance } = place
+    const { details, ...rest } = options
+    const { instance } = lease
     const nowMs = performance.now()
-    this.logDispatch(place, details, nowMs)
+    this.logDispatch(lease, details, nowMs)
     const remainingMs = routed.deadlineMs - nowMs
     const { call, signal } = routed
     const { codec, log } = context
-    const result = await attempt({ call, instance, codec, log, remainingMs, signal, ...sent })
+    const result = await attempt({ call, instance, codec, log, remainingMs, signal, ...rest })
     context.metrics.observeMs('instance', performance.now() - nowMs)
-    place.release()
-    this.excluded.add(instance.description.id)
-    if (result.kind === 'unsent') this.unsent++
-    else this.sent++
+    lease.release()
+    this.usedInstanceIds.add(instance.description.id)
+    if (result.kind === 'unsent') this.unsentCount++
+    else this.sentCount++
     if (result.kind === 'broken') this.mayHaveRun = true
     return result
   }
 
-  /// Whether the call may go to another instance. `mayRunTwice` says whether it may where it may have run.
-  mayGoOn (result: AttemptResult, mayRunTwice: boolean): boolean {
+  /// Whether the call may be retried on another instance. A call that may have run is retried only if `mayRunTwice`.
+  mayRetry (result: AttemptResult, mayRunTwice: boolean): boolean {
     if (this.routed.signal.aborted) return false
-    if (result.kind === 'unsent') return this.unsent < maxUnsentTries
-    if (this.sent >= this.routed.route.maxInstances) return false
+    if (result.kind === 'unsent') return this.unsentCount < maxUnsentAttempts
+    if (this.sentCount >= this.routed.route.maxInstances) return false
     return mayRunTwice || result.kind === 'not-run'
   }
 
-  /// How the call is refused once it may not go on.
-  refusal (verdict: Verdict, result: AttemptResult | null): RefusedError {
+  /// The error for a call that isn't retried. If the result of the last attempt is given, it is part of the message.
+  toError (verdict: Verdict, result: AttemptResult | null): RefusedError {
     const { signal } = this.routed
     if (signal.aborted && signal.reason === AbortReason.deadline) {
-      return new RefusedError(Refusal.timedOut, verdict, 'the answer did not end within the time allowed')
+      return new RefusedError(Refusal.timedOut, verdict, 'response did not complete before the deadline')
     }
-    const reason = result === null ? '' : `, ${reasonOf(result)}`
-    return new RefusedError(Refusal.upstreamFailed, verdict, `${this.sent} sent, ${this.unsent} not sent${reason}`, fullRetryMs)
+    const reason = result === null ? '' : `, last result: ${getReason(result)}`
+    return new RefusedError(
+      Refusal.upstreamFailed,
+      verdict,
+      `no usable response from upstream: ${this.sentCount} attempts sent, ${this.unsentCount} not sent${reason}`,
+      failedRetryAfterMs
+    )
   }
 
-  /// What was decided to send the call to this instance on.
-  private logDispatch ({ instance }: InstanceLease, details: Sending['details'], nowMs: number): void {
+  /// Logs the dispatch with the data that the choice of the instance was based on.
+  private logDispatch ({ instance }: InstanceLease, details: AttemptOptions['details'], nowMs: number): void {
     const { call, route, configVersion } = this.routed
     this.context.log.event(Events.callDispatched, {
       callId: call.id,
@@ -106,13 +111,13 @@
   }
 }
 
-/// Why a sending ended as it did, for the log.
-export function reasonOf (result: AttemptResult): string | number {
+/// Returns why an attempt ended as it did, for the log.
+export function getReason (result: AttemptResult): string | number {
   if (result.kind === 'unsent' || result.kind === 'broken') return result.reason
   return result.kind === 'not-run' ? result.status : result.kind
 }
 
-/// The verdict on a call that was sent, as far as it is known.
-export function verdictOf (mayHaveRun: boolean): Verdict {
+/// Returns the verdict on a call that ends without a response.
+export function getVerdict (mayHaveRun: boolean): Verdict {
   return mayHaveRun ? Verdict.mayHaveRun : Verdict.notRun
 }
--- a/request/forward/src/stream.ts
+++ b/request/forward/src/stream.ts
@@ -8,124 +8,137 @@
 import type { InstanceLease } from '#process/placement'
 import type { AttemptResult, StreamListener } from './attempt.js'
 import type { CallerResponse, ForwardContext, RoutedCall } from './context.js'
-import { Tries, reasonOf, verdictOf } from './dispatcher.js'
+import { CallDispatcher, getReason, getVerdict } from './dispatcher.js'
 
-const maxKeepMs = 1500
-/// A resumable stream goes on elsewhere after this much silence.
-const silenceMs = 900
-/// A turn of a program that runs may wait this share of its time for a place.
+const storeTimeoutMs = 1500
+/// A resumable stream that sends no data for this long is resumed on another instance.
+const streamIdleTimeoutMs = 900
+/// Share of its remaining time that a turn of a running program may wait for an instance.
 const maxWaitShare = 0.25
-/// The first turn of a program may wait this share of its target latency; it
-/// is better refused at once, and begun later, than run late to no credit.
-const firstWaitShare = 0.1
+/// Share of the target latency that the first turn of a program may wait for an
+/// instance. A program that is refused early can be started later; one that
+/// runs too late uses capacity without earning credit.
+const newProgramWaitShare = 0.1
 const lineFeed = Buffer.from('\n')
 
-/// Serves a call whose answer is a stream of events. Rejects with `RefusedError`
-/// while nothing has gone to the caller; breaks the answer off after that.
-export async function serveStream (routed: RoutedCall, caller: CallerResponse, context: ForwardContext): Promise<void> {
+/// Serves a call whose response is an event stream. Rejects with `RefusedError`;
+/// if the response has started by then, it must be aborted.
+export async function serveStream (
+  routed: RoutedCall,
+  response: CallerResponse,
+  context: ForwardContext
+): Promise<void> {
   const { call, route, service } = routed
   const tokensPerEvent = service?.engine?.tokensPerEvent ?? 1
-  const mostTokens = roundUp(call.usage?.maxOutputTokens ?? 0, tokensPerEvent)
+  const maxTokens = roundUp(call.usage?.maxOutputTokens ?? 0, tokensPerEvent)
   const startedAtMs = performance.now()
-  const [history, account] = await openTurn(routed, mostTokens, context)
+  const [history, reservation] = await prepareTurn(routed, maxTokens, context)
   const storageMs = performance.now() - startedAtMs
   context.metrics.observeMs('storage', storageMs)
-  const isFirst = account !== null && !account.hasOtherTurns && history.length === 0
-  const turn = new Turn(routed, caller, context, history, isFirst, tokensPerEvent, storageMs)
+  const isFirstTurn = reservation !== null && !reservation.hasOtherTurns && history.length === 0
+  const turn = new StreamedTurn(routed, response, context, history, isFirstTurn, tokensPerEvent, storageMs)
   try {
     const isStream = await turn.run()
-    if (isStream && route.keepsHistory) await turn.keep(account)
+    if (isStream && route.keepsHistory) await turn.store(reservation)
     turn.end()
   } finally {
-    account?.settle(turn.tokens)
+    reservation?.settle(turn.deliveredTokens)
   }
 }
 
-/// Looks up the turns before and reserves the budget at the same time.
-async function openTurn (
+/// Reads the previous turns and reserves tokens from the budget at the same time.
+async function prepareTurn (
   routed: RoutedCall,
-  mostTokens: number,
+  maxTokens: number,
   context: ForwardContext
 ): Promise<[readonly LedgerRecord[], TokenReservation | null]> {
   const { call, route } = routed
-  const [history, account] = await Promise.allSettled([
+  const [history, reservation] = await Promise.allSettled([
     route.keepsHistory ? readHistory(call, context.ledger, context.cache) : [],
-    TokenReservation.acquire(call, route, mostTokens, context.ledger, context.log)
+    TokenReservation.acquire(call, route, maxTokens, context.ledger, context.log)
   ])
   if (history.status === 'rejected') {
-    if (account.status === 'fulfilled') account.value?.settle(0)
+    if (reservation.status === 'fulfilled') reservation.value?.settle(0)
     throw history.reason
   }
-  if (account.status === 'rejected') throw account.reason
-  return [history.value, account.value]
+  if (reservation.status === 'rejected') throw reservation.reason
+  return [history.value, reservation.value]
 }
 
-/// One turn on its way through one or more instances.
-class Turn implements StreamListener {
+/// Serves one turn on one instance after another until its stream is complete.
+class StreamedTurn implements StreamListener {
   private readonly output: Buffer[] = []
   private readonly prompt: Buffer
-  private readonly tries: Tries
+  private readonly dispatcher: CallDispatcher
   private parser = new EventStreamParser()
   private lastEventId: number
-  private events = 0
+  private eventCount = 0
   private instanceId = ''
 
   constructor (
     private readonly routed: RoutedCall,
-    private readonly caller: CallerResponse,
+    private readonly response: CallerResponse,
     private readonly context: ForwardContext,
     private readonly history: readonly LedgerRecord[],
-    private readonly isFirst: boolean,
+    private readonly isFirstTurn: boolean,
     private readonly tokensPerEvent: number,
     private readonly storageMs: number
   ) {
     this.prompt = buildPrompt(history, routed.body)
-    this.tries = new Tries(routed, context)
+    this.dispatcher = new CallDispatcher(routed, context)
     this.lastEventId = routed.call.lastEventId
   }
 
-  /// Tokens that were handed to the caller.
-  get tokens (): number {
-    return this.events * this.tokensPerEvent
+  /// Tokens delivered to the caller.
+  get deliveredTokens (): number {
+    return this.eventCount * this.tokensPerEvent
   }
 
-  /// Resolves to true once a stream has come to its end, to false once another answer was passed on.
+  /// Resolves to true when the stream has ended, to false when a response of another kind was passed on.
   async run (): Promise<boolean> {
-    const { routed, caller, context } = this
+    const { routed, response, context } = this
     while (true) {
-      const place = await this.findPlace()
-      const { id } = place.instance.description
+      const lease = await this.acquireLease()
+      const { id } = lease.instance.description
       this.instanceId = id
-      const result = await this.sendOnce(place)
+      const result = await this.sendTo(lease)
       if (result.kind === 'stream-ended') {
-        recordCachedParts(place.instance, routed.call.prefix.map(part => part.id))
+        recordCachedParts(lease.instance, routed.call.prefix.map(part => part.id))
         return true
       }
       if (result.kind === 'answer') {
-        if (caller.hasStarted) throw this.broken('an answer that is no stream came instead of the rest')
-        caller.respond(result.head, result.body)
+        if (response.hasStarted) throw this.createUpstreamError('resuming the stream returned a response that is not a stream')
+        response.respond(result.head, result.body)
         return false
       }
-      if (!this.tries.mayGoOn(result, routed.route.resumable)) throw this.tries.refusal(this.verdict, result)
+      if (!this.dispatcher.mayRetry(result, routed.route.resumable)) throw this.dispatcher.toError(this.verdict, result)
       context.metrics.increment('retries_total')
-      context.log.event(this.events > 0 ? Events.streamResumed : Events.callRetried, {
+      context.log.event(this.eventCount > 0 ? Events.streamResumed : Events.callRetried, {
         callId: routed.call.id,
         instanceId: id,
         result: result.kind,
-        reason: reasonOf(result),
+        reason: getReason(result),
         lastEventId: this.lastEventId,
-        sent: this.tries.sent
+        sent: this.dispatcher.sentCount
       })
     }
   }
 
-  /// Keeps the turn. The caller's answer isn't ended before that.
-  async keep (account: TokenReservation | null): Promise<void> {
-    const { routed, context, caller } = this
-    if (!caller.hasStarted) return
+  /// Stores the turn. Must complete before the response ends, so that a caller that has received the complete
+  /// response can rely on the turn being stored.
+  async store (reservation: TokenReservation | null): Promise<void> {
+    const { routed, context, response } = this
+    if (!response.hasStarted) return
     const output = Buffer.concat(this.output)
-    const record = createTurnRecord(routed.call, routed.route, routed.body, output, this.tokens, this.instanceId)
-    const timeoutMs = Math.min(maxKeepMs, routed.deadlineMs - performance.now())
+    const record = createTurnRecord(
+      routed.call,
+      routed.route,
+      routed.body,
+      output,
+      this.deliveredTokens,
+      this.instanceId
+    )
+    const timeoutMs = Math.min(storeTimeoutMs, routed.deadlineMs - performance.now())
     const startedAtMs = performance.now()
     try {
       await context.ledger.append([record], timeoutMs)
@@ -134,28 +147,28 @@
     }
     context.metrics.observeMs('keep', performance.now() - startedAtMs)
     context.cache.add(record)
-    account?.markSettled()
+    reservation?.markSettled()
   }
 
   end (): void {
-    if (this.caller.hasStarted) this.caller.end()
+    if (this.response.hasStarted) this.response.end()
   }
 
   onHead (head: ResponseHead): void {
     this.parser = new EventStreamParser()
-    if (!this.caller.hasStarted) this.caller.startResponse(head)
+    if (!this.response.hasStarted) this.response.startResponse(head)
   }
 
   onData (chunk: Buffer): void {
-    const passed: Buffer[] = []
+    const accepted: Buffer[] = []
     try {
       for (const event of this.parser.push(chunk)) {
-        this.take(event)
-        passed.push(event.bytes)
+        this.accept(event)
+        accepted.push(event.bytes)
       }
     } finally {
-      // What was taken counts as handed over, also where the next event is a wrong one.
-      if (passed.length > 0) this.caller.write(passed.length === 1 ? passed[0]! : Buffer.concat(passed))
+      // Events that were counted must be sent, even if a later event of the chunk is rejected.
+      if (accepted.length > 0) this.response.write(accepted.length === 1 ? accepted[0]! : Buffer.concat(accepted))
     }
   }
 
@@ -163,48 +176,52 @@
     return !this.parser.hasPartialEvent
   }
 
-  /// Counts an event before it goes to the caller; throws where it isn't the next one.
-  private take (event: StreamEvent): void {
+  /// Counts an event before it is sent to the caller; throws if it isn't the next one.
+  private accept (event: StreamEvent): void {
     if (event.id >= 0) {
       if (this.lastEventId >= 0 && event.id !== this.lastEventId + 1) {
-        throw new Error(`event ${event.id} follows ${this.lastEventId}`)
+        throw new Error(`event ${event.id} does not follow event ${this.lastEventId}`)
       }
       this.lastEventId = event.id
     }
     if (event.data === null) return
-    this.events++
+    this.eventCount++
     if (this.routed.route.keepsHistory) this.output.push(Buffer.from(event.data), lineFeed)
   }
 
-  private async findPlace (): Promise<InstanceLease> {
+  private async acquireLease (): Promise<InstanceLease> {
     const previous = this.history[this.history.length - 1]
     const previousInstanceId = previous === undefined || previous.instanceId === '' ? null : previous.instanceId
     try {
       const { maxWaitMs } = this
-      return await this.tries.findPlace({ previousInstanceId, isContinuing: !this.isBeginning, maxWaitMs })
+      return await this.dispatcher.acquireLease({
+        previousInstanceId,
+        isContinuing: !this.isStartingProgram,
+        maxWaitMs
+      })
     } catch (error) {
-      if (this.tries.mayHaveRun) throw this.broken(formatError(error))
+      if (this.dispatcher.mayHaveRun) throw this.createUpstreamError(formatError(error))
       throw error
     }
   }
 
-  /// Whether its program has nothing to lose yet: no instance has had a turn of it.
-  private get isBeginning (): boolean {
-    return this.isFirst && this.tries.sent === 0
+  /// Whether no instance has been sent a turn of the program yet, so that a refusal loses no work.
+  private get isStartingProgram (): boolean {
+    return this.isFirstTurn && this.dispatcher.sentCount === 0
   }
 
   private get maxWaitMs (): number {
     const { deadlineMs, route } = this.routed
-    if (this.isBeginning) return route.targetLatencyMs * firstWaitShare
+    if (this.isStartingProgram) return route.targetLatencyMs * newProgramWaitShare
     return (deadlineMs - performance.now()) * maxWaitShare
   }
 
-  private sendOnce (place: InstanceLease): Promise<AttemptResult> {
-    return this.tries.send(place, {
+  private sendTo (lease: InstanceLease): Promise<AttemptResult> {
+    return this.dispatcher.send(lease, {
       body: this.prompt,
       lastEventId: this.lastEventId,
       listener: this,
-      idleTimeoutMs: this.routed.route.resumable ? silenceMs : 0,
+      idleTimeoutMs: this.routed.route.resumable ? streamIdleTimeoutMs : 0,
       details: {
         history: this.history.length,
         promptBytes: this.prompt.length,
@@ -214,15 +231,15 @@
     })
   }
 
-  private broken (reason: string): RefusedError {
+  private createUpstreamError (reason: string): RefusedError {
     return new RefusedError(Refusal.upstreamFailed, this.verdict, reason)
   }
 
   private get verdict (): Verdict {
-    return verdictOf(this.tries.mayHaveRun || this.events > 0)
+    return getVerdict(this.dispatcher.mayHaveRun || this.eventCount > 0)
   }
 }
 
-function roundUp (tokens: number, step: number): number {
-  return Math.ceil(tokens / step) * step
+function roundUp (tokens: number, multiple: number): number {
+  return Math.ceil(tokens / multiple) * multiple
 }
--- a/request/forward/src/unary.ts
+++ b/request/forward/src/unary.ts
@@ -3,58 +3,68 @@
 import type { InstanceLease } from '#process/placement'
 import type { AttemptResult } from './attempt.js'
 import type { CallerResponse, ForwardContext, RoutedCall } from './context.js'
-import { Tries, reasonOf, verdictOf } from './dispatcher.js'
+import { CallDispatcher, getReason, getVerdict } from './dispatcher.js'
 
-/// An idempotent call is sent elsewhere after this much silence, by its target latency.
-const silencePerTarget = 4
-const minSilenceMs = 250
-/// A call that has waited longer than this share of its time is refused.
+/// An idempotent call that receives no data for this multiple of its target latency is retried on another instance.
+const idleTimeoutPerTargetLatency = 4
+const minIdleTimeoutMs = 250
+/// Share of its remaining time that a call may wait for an instance before it is refused.
 const maxWaitShare = 0.6
 
-/// Serves a call whose answer is passed on whole. Rejects with `RefusedError`.
-export async function serveUnary (routed: RoutedCall, caller: CallerResponse, context: ForwardContext): Promise<void> {
+/// Serves a call whose response is passed on as a whole. Rejects with `RefusedError`.
+export async function serveUnary (
+  routed: RoutedCall,
+  response: CallerResponse,
+  context: ForwardContext
+): Promise<void> {
   const { call, route } = routed
   const isIdempotent = route.kind === RouteKind.idempotent
-  const tries = new Tries(routed, context)
-  let lastAnswer: Extract<AttemptResult, { kind: 'answer' }> | null = null
+  const dispatcher = new CallDispatcher(routed, context)
+  let lastResponse: Extract<AttemptResult, { kind: 'answer' }> | null = null
   while (true) {
-    const place = await findPlace(routed, tries, lastAnswer !== null)
-    if (place === null) break
-    const hasAlternative = isIdempotent && tries.sent + 1 < route.maxInstances
-    const silenceMs = hasAlternative ? Math.max(minSilenceMs, route.targetLatencyMs * silencePerTarget) : 0
+    const lease = await acquireLease(routed, dispatcher, lastResponse !== null)
+    if (lease === null) break
+    const hasAlternative = isIdempotent && dispatcher.sentCount + 1 < route.maxInstances
+    const idleTimeoutMs = hasAlternative
+      ? Math.max(minIdleTimeoutMs, route.targetLatencyMs * idleTimeoutPerTargetLatency)
+      : 0
     const { body } = routed
-    const result = await tries.send(place, {
+    const result = await dispatcher.send(lease, {
       body,
       lastEventId: -1,
       listener: null,
-      idleTimeoutMs: silenceMs,
+      idleTimeoutMs,
       details: {}
     })
     if (result.kind === 'answer') {
-      lastAnswer = result
+      lastResponse = result
       if (!hasAlternative || result.head.status < 500) break
     }
-    if (!tries.mayGoOn(result, isIdempotent)) break
+    if (!dispatcher.mayRetry(result, isIdempotent)) break
     context.metrics.increment('retries_total')
     context.log.event(Events.callRetried, {
       callId: call.id,
-      instanceId: place.instance.description.id,
+      instanceId: lease.instance.description.id,
       result: result.kind,
-      reason: reasonOf(result),
-      sent: tries.sent
+      reason: getReason(result),
+      sent: dispatcher.sentCount
     })
   }
-  if (lastAnswer !== null) caller.respond(lastAnswer.head, lastAnswer.body)
-  else throw tries.refusal(verdictOf(tries.mayHaveRun), null)
+  if (lastResponse !== null) response.respond(lastResponse.head, lastResponse.body)
+  else throw dispatcher.toError(getVerdict(dispatcher.mayHaveRun), null)
 }
 
-/// Null where an earlier answer or failure has to do.
-async function findPlace (routed: RoutedCall, tries: Tries, hasAnswer: boolean): Promise<InstanceLease | null> {
+/// Resolves to null if no instance can take a retry, so that the call ends with the outcome of earlier attempts.
+async function acquireLease (
+  routed: RoutedCall,
+  dispatcher: CallDispatcher,
+  hasResponse: boolean
+): Promise<InstanceLease | null> {
   try {
     const maxWaitMs = (routed.deadlineMs - performance.now()) * maxWaitShare
-    return await tries.findPlace({ previousInstanceId: null, isContinuing: true, maxWaitMs })
+    return await dispatcher.acquireLease({ previousInstanceId: null, isContinuing: true, maxWaitMs })
   } catch (error) {
-    if (tries.mayHaveRun || hasAnswer) return null
+    if (dispatcher.mayHaveRun || hasResponse) return null
     throw error
   }
 }
