--- a/request/turn/src/chaincache.ts
+++ b/request/turn/src/chaincache.ts
@@ -1,7 +1,8 @@
 import type { LedgerRecord } from '#connection/rpc'
 
-/// Turns that this process has kept or read lately. Turns never change, so a
-/// cached one is as good as the ledger's; a missing one says nothing.
+/// Caches turns that this process has stored or read, and evicts those that were
+/// added first. Turns are immutable, so a cached one is always valid; one that
+/// isn't cached may still be in the ledger.
 export class ChainCache {
   private readonly turns = new Map<string, LedgerRecord>()
   private bytes = 0
@@ -11,15 +12,15 @@
   add (turn: LedgerRecord): void {
     if (this.turns.has(turn.id)) return
     this.turns.set(turn.id, turn)
-    this.bytes += sizeOf(turn)
+    this.bytes += getByteLength(turn)
     for (const [id, oldest] of this.turns) {
       if (this.bytes <= this.maxBytes) return
       this.turns.delete(id)
-      this.bytes -= sizeOf(oldest)
+      this.bytes -= getByteLength(oldest)
     }
   }
 
-  /// The turn's chain, oldest first; null where a part isn't cached.
+  /// Returns the turn's chain, oldest first; null if one of its turns isn't cached.
   getChain (turnId: string): LedgerRecord[] | null {
     const chain: LedgerRecord[] = []
     for (let id = turnId; id !== '';) {
@@ -32,6 +33,6 @@
   }
 }
 
-function sizeOf (turn: LedgerRecord): number {
+function getByteLength (turn: LedgerRecord): number {
   return turn.input.length + turn.output.length
 }
--- a/request/turn/src/eventstream.ts
+++ b/request/turn/src/eventstream.ts
@@ -1,38 +1,38 @@
-/// One whole event of a stream.
+/// One complete event of a stream.
 export interface StreamEvent {
-  /// Its bytes as they were received, the blank line included.
+  /// Its bytes as received, including the blank line.
   readonly bytes: Buffer
-  /// -1 where the event has no number.
+  /// -1 if the event has no numeric id.
   readonly id: number
-  /// Null where the event has no data.
+  /// Null if the event has no data.
   readonly data: string | null
 }
 
-/// Splits a `text/event-stream` body into whole events.
+/// Splits a `text/event-stream` body into complete events.
 export class EventStreamParser {
-  private rest: Buffer = Buffer.alloc(0)
+  private buffered: Buffer = Buffer.alloc(0)
 
-  /// Whether bytes of an event that isn't whole yet are left.
+  /// Whether the bytes received so far end within an event.
   get hasPartialEvent (): boolean {
-    return this.rest.length > 0
+    return this.buffered.length > 0
   }
 
   push (chunk: Buffer): StreamEvent[] {
-    this.rest = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk])
+    this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk])
     const events: StreamEvent[] = []
-    for (let end = endOfEvent(this.rest); end >= 0; end = endOfEvent(this.rest)) {
-      events.push(parseEvent(this.rest.subarray(0, end)))
-      this.rest = this.rest.subarray(end)
+    for (let end = findEventEnd(this.buffered); end >= 0; end = findEventEnd(this.buffered)) {
+      events.push(parseEvent(this.buffered.subarray(0, end)))
+      this.buffered = this.buffered.subarray(end)
     }
     return events
   }
 }
 
-function endOfEvent (bytes: Buffer): number {
-  const plain = bytes.indexOf('\n\n')
-  const windows = bytes.indexOf('\r\n\r\n')
-  if (plain < 0 && windows < 0) return -1
-  return windows < 0 || (plain >= 0 && plain < windows) ? plain + 2 : windows + 4
+function findEventEnd (bytes: Buffer): number {
+  const lfIndex = bytes.indexOf('\n\n')
+  const crlfIndex = bytes.indexOf('\r\n\r\n')
+  if (lfIndex < 0 && crlfIndex < 0) return -1
+  return crlfIndex < 0 || (lfIndex >= 0 && lfIndex < crlfIndex) ? lfIndex + 2 : crlfIndex + 4
 }
 
 function parseEvent (bytes: Buffer): StreamEvent {
--- a/request/turn/src/history.ts
+++ b/request/turn/src/history.ts
@@ -9,10 +9,10 @@
 import type { TurnLedger } from './ledger.js'
 
 const findTimeoutMs = 900
-const ledgerRetryMs = 250
+const ledgerRetryAfterMs = 250
 
-/// The turns before a call, oldest first; none for the first turn. Rejects with
-/// `RefusedError`: "no such turn" only where that is certain.
+/// Reads the history of a call, oldest turn first; empty for the first turn.
+/// Rejects with `RefusedError`: `unknownTurn` only if the turn is certainly absent.
 export async function readHistory (
   call: Call,
   ledger: TurnLedger,
@@ -31,19 +31,19 @@
   try {
     chain = await ledger.findChain(turnId, findTimeoutMs)
   } catch (error) {
-    throw new RefusedError(Refusal.ledgerUnavailable, Verdict.notRun, formatError(error), ledgerRetryMs)
+    throw new RefusedError(Refusal.ledgerUnavailable, Verdict.notRun, formatError(error), ledgerRetryAfterMs)
   }
-  if (chain === null) throw new RefusedError(Refusal.unknownTurn, Verdict.notRun, `no turn ${turnId} is kept`)
+  if (chain === null) throw new RefusedError(Refusal.unknownTurn, Verdict.notRun, `previous turn ${turnId} is not stored`)
   return chain
 }
 
-/// The prompt that an instance gets: inputs and outputs of the turns before, then the new input.
+/// Builds the prompt for an instance: inputs and outputs of the previous turns, then the new input.
 export function buildPrompt (history: readonly LedgerRecord[], input: Buffer): Buffer {
   if (history.length === 0) return input
   return Buffer.concat([...history.flatMap(turn => [turn.input, turn.output]), input])
 }
 
-/// The record that keeps a turn.
+/// Creates the ledger record of a turn.
 export function createTurnRecord (
   call: Call,
   route: Route,
--- a/request/turn/src/ledger.ts
+++ b/request/turn/src/ledger.ts
@@ -1,15 +1,15 @@
 import type { AccountEntry, LedgerRecord } from '#connection/rpc'
 
-/// What turns need of the storage instances; `LedgerQuorum` offers it.
+/// The ledger operations that turns need; `LedgerQuorum` implements them.
 export interface TurnLedger {
   append (records: readonly LedgerRecord[], timeoutMs: number): Promise<void>
   reserve (reservation: LedgerRecord, timeoutMs: number): Promise<AccountEntry[]>
-  /// All that was reserved and settled before the call.
+  /// Resolves to all reservations and settlements that were stored before the read began.
   readAccount (programId: string, timeoutMs: number): Promise<AccountEntry[]>
   findChain (turnId: string, timeoutMs: number): Promise<LedgerRecord[] | null>
 }
 
-/// A record without what only some kinds have.
+/// Creates a record of any kind. Fields that only some kinds use are left empty.
 export function createRecord (kind: number, id: string, programId: string, retentionMs: number): LedgerRecord {
   return {
     kind,
--- a/request/turn/src/tokenreservation.ts
+++ b/request/turn/src/tokenreservation.ts
@@ -10,21 +10,21 @@
 import type { TurnLedger } from './ledger.js'
 
 const reserveTimeoutMs = 900
-/// Turns of one program that may be opened within one round trip: so many may not see each other.
-const openTogether = 8
-/// How often, and after which pause, the account is read until those that give way have done so.
+/// Assumed maximum of turns of one program that reserve within one round trip and so may miss each other's records.
+const maxConcurrentTurns = 8
+/// Limit and interval for reading the account again until the turns that must give up their reservation have done so.
 const maxReads = 4
-const rereadPauseMs = 25
+const rereadIntervalMs = 25
 const settleTimeoutMs = 1500
-const settleRetryPauseMs = 400
-const settleTries = 8
-const ledgerRetryMs = 250
-/// Accounts outlive the turns that they count by at least this time.
+const settleRetryDelayMs = 400
+const maxSettleAttempts = 8
+const ledgerRetryAfterMs = 250
+/// Records of an account are retained for at least this time, also if the route retains its turns for less.
 const minAccountRetentionMs = 60_000
 
-/// One turn's share of its program's token budget.
+/// The tokens that a turn has reserved from its program's budget.
 export class TokenReservation {
-  /// Whether other turns of the program have spent tokens or are about to.
+  /// Whether other turns of the program have spent or reserved tokens.
   hasOtherTurns = false
   private isSettled = false
 
@@ -36,38 +36,39 @@
     private readonly retentionMs: number
   ) {}
 
-  /// Reserves the most that the turn may generate. Rejects with `RefusedError`
-  /// where the budget is spent, or where the account can't be known.
+  /// Reserves the most that the turn may generate. Resolves to null if the
+  /// program has no budget. Rejects with `RefusedError` if the budget is used up
+  /// or if the program's account can't be read.
   static async acquire (
     call: Call,
     route: Route,
-    mostTokens: number,
+    maxTokens: number,
     ledger: TurnLedger,
     log: EventLog
   ): Promise<TokenReservation | null> {
     const budget = call.program?.tokenBudget ?? null
     if (call.program === null || budget === null) return null
     const retentionMs = Math.max(route.retentionMs, minAccountRetentionMs)
-    const account = new TokenReservation(ledger, log, call.id, call.program.id, retentionMs)
-    const entries = await account.reserve(mostTokens)
-    const spent = countTokens(entries.filter(entry => entry.settled), call.id)
-    let others = countTokens(entries, call.id)
-    const isClose = others > 0 && others + openTogether * mostTokens > budget
-    if (isClose && spent < budget) others = await account.countAgain(budget)
-    account.hasOtherTurns = others > 0
-    if (others > 0 && others >= budget) {
-      account.settle(0)
-      throw new RefusedError(Refusal.budgetSpent, Verdict.notRun, `${others} of ${budget} tokens are spent or reserved`)
+    const reservation = new TokenReservation(ledger, log, call.id, call.program.id, retentionMs)
+    const entries = await reservation.reserve(maxTokens)
+    const otherSpentTokens = countTokens(entries.filter(entry => entry.settled), call.id)
+    let otherTokens = countTokens(entries, call.id)
+    const mayExceedBudget = otherTokens > 0 && otherTokens + maxConcurrentTurns * maxTokens > budget
+    if (mayExceedBudget && otherSpentTokens < budget) otherTokens = await reservation.recountOthers(budget)
+    reservation.hasOtherTurns = otherTokens > 0
+    if (otherTokens > 0 && otherTokens >= budget) {
+      reservation.settle(0)
+      throw new RefusedError(Refusal.budgetSpent, Verdict.notRun, `${otherTokens} of ${budget} tokens are spent or reserved`)
     }
-    return account
+    return reservation
   }
 
-  /// Counts what was handed to the caller, in place of the reservation. Goes on
-  /// in the background; until it is done the reservation counts at its most.
+  /// Replaces the reservation by the tokens delivered to the caller. Runs in
+  /// the background; until it is done the whole reservation counts as spent.
   settle (tokens: number): void {
     if (this.isSettled) return
     this.isSettled = true
-    this.keepSettling(tokens).catch((error: unknown) => {
+    this.writeSettlement(tokens).catch((error: unknown) => {
       this.log.event(Events.settleAbandoned, {
         callId: this.callId,
         programId: this.programId,
@@ -77,62 +78,62 @@
     })
   }
 
-  /// The turn's own record counts the tokens.
+  /// Marks the reservation as settled by the record of the stored turn, which has the tokens.
   markSettled (): void {
     this.isSettled = true
   }
 
-  private async reserve (mostTokens: number): Promise<AccountEntry[]> {
+  private async reserve (maxTokens: number): Promise<AccountEntry[]> {
     const record = {
       ...createRecord(RecordKind.reservation, this.callId, this.programId, this.retentionMs),
-      tokens: mostTokens
+      tokens: maxTokens
     }
-    return await this.orRefuse(this.ledger.reserve(record, reserveTimeoutMs))
+    return await this.refuseOnError(this.ledger.reserve(record, reserveTimeoutMs))
   }
 
-  /// Counts the others' tokens once this turn's reservation is kept.
+  /// Counts the tokens of other turns again once this turn's reservation is stored.
   ///
-  /// Reservations that are made at once may each miss some of the others; of
-  /// those that pass here, the one that was kept last sees all. Where they
-  /// leave no room for each other, those with the highest ids give way.
-  private async countAgain (budget: number): Promise<number> {
+  /// Concurrent reservations may miss each other when they are made. Of those
+  /// that read the account again, the last one to be stored sees all others. If
+  /// they exceed the budget together, those with the highest ids are given up.
+  private async recountOthers (budget: number): Promise<number> {
     for (let reads = 1; ; reads++) {
-      const entries = await this.read()
-      const others = countTokens(entries, this.callId)
-      const before = countTokens(entries.filter(entry => entry.settled || entry.id < this.callId), this.callId)
-      if (others < budget || before >= budget || reads === maxReads) return others
-      await sleep(rereadPauseMs)
+      const entries = await this.readAccount()
+      const otherTokens = countTokens(entries, this.callId)
+      const precedingTokens = countTokens(entries.filter(entry => entry.settled || entry.id < this.callId), this.callId)
+      if (otherTokens < budget || precedingTokens >= budget || reads === maxReads) return otherTokens
+      await sleep(rereadIntervalMs)
     }
   }
 
-  private async read (): Promise<AccountEntry[]> {
-    return await this.orRefuse(this.ledger.readAccount(this.programId, reserveTimeoutMs))
+  private async readAccount (): Promise<AccountEntry[]> {
+    return await this.refuseOnError(this.ledger.readAccount(this.programId, reserveTimeoutMs))
   }
 
-  private async orRefuse (entries: Promise<AccountEntry[]>): Promise<AccountEntry[]> {
+  private async refuseOnError (entries: Promise<AccountEntry[]>): Promise<AccountEntry[]> {
     try {
       return await entries
     } catch (error) {
       this.settle(0)
-      throw new RefusedError(Refusal.ledgerUnavailable, Verdict.notRun, formatError(error), ledgerRetryMs)
+      throw new RefusedError(Refusal.ledgerUnavailable, Verdict.notRun, formatError(error), ledgerRetryAfterMs)
     }
   }
 
-  private async keepSettling (tokens: number): Promise<void> {
+  private async writeSettlement (tokens: number): Promise<void> {
     const record = { ...createRecord(RecordKind.settlement, this.callId, this.programId, this.retentionMs), tokens }
-    for (let tries = 1; ; tries++) {
+    for (let attempts = 1; ; attempts++) {
       try {
         await this.ledger.append([record], settleTimeoutMs)
         return
       } catch (error) {
-        if (tries >= settleTries) throw error
+        if (attempts >= maxSettleAttempts) throw error
       }
-      await sleep(settleRetryPauseMs)
+      await sleep(settleRetryDelayMs)
     }
   }
 }
 
-/// The tokens of a program's other turns: what they spent, or may still spend.
+/// Sums the tokens of entries other than `exceptId`: those spent if it is settled, else those reserved.
 export function countTokens (entries: readonly AccountEntry[], exceptId: string): number {
   let total = 0
   for (const entry of entries) {
