--- a/process/instances/src/instance.ts
+++ b/process/instances/src/instance.ts
@@ -1,55 +1,58 @@
 import type { UpstreamLoad } from '#connection/header'
 import type { InstanceClient } from '#connection/upstream'
 
-/// An upstream instance as the platform's list describes it.
+/// An upstream instance as described by its entry in the platform's store.
 export interface InstanceDescription {
   readonly id: string
   readonly service: string
+  /// Host and port.
   readonly address: string
   readonly zone: string
   readonly slots: number
   readonly isReady: boolean
 }
 
-/// An upstream instance, with what this process believes of its load.
+/// An upstream instance with this process's estimate of its load and health.
 export interface Instance {
   description: InstanceDescription
   readonly client: InstanceClient
-  /// Calls of this process that are under way there.
+  /// Calls of this process that are in flight there.
   running: number
-  /// What others seem to have there, when that was learnt, and at which own load.
+  /// Calls of other processes that ran or waited there at its last load report.
   othersRunning: number
+  /// Time of that report on the monotonic clock of `performance.now()`.
   loadReportedAtMs: number
-  /// Failures to reach it in a row.
+  /// Consecutive failures to reach it or to receive data from it.
   failures: number
-  /// No calls go there before this time unless there is no other choice.
+  /// Until this time the instance is used only if all other candidates are suspected as well.
   suspectUntilMs: number
-  /// Parts of prompts that it has read, the latest last.
+  /// Ids of the prompt parts that it has cached, the most recently used last. The values have no meaning.
   readonly cachedParts: Map<string, number>
   isRemoved: boolean
 }
 
-const firstSuspicionMs = 300
+const initialSuspicionMs = 300
 const maxSuspicionMs = 4000
-/// Others' calls, as an answer told of them, count half after this time.
+/// The weight of a load report halves each time this period has passed.
 const loadHalfLifeMs = 400
 const maxCachedParts = 4000
 
-/// The calls that seem to be at the instance, from this process and others.
+/// Estimates how many calls of this and other processes run or wait at the instance.
 export function estimateRunning (instance: Instance, nowMs: number): number {
   const ageMs = nowMs - instance.loadReportedAtMs
   return instance.running + instance.othersRunning * 0.5 ** (ageMs / loadHalfLifeMs)
 }
 
+/// Records a load report. Calls beyond this process's own are counted as those of other processes.
 export function recordLoad (instance: Instance, load: UpstreamLoad, nowMs: number): void {
   instance.othersRunning = Math.max(0, load.running + load.waiting - instance.running)
   instance.loadReportedAtMs = nowMs
 }
 
-/// Returns for how long the instance is now avoided.
+/// Marks the instance as suspected and returns for how many milliseconds; they double with each consecutive failure.
 export function recordFailure (instance: Instance, nowMs: number): number {
   instance.failures++
-  const suspicionMs = Math.min(firstSuspicionMs * 2 ** (instance.failures - 1), maxSuspicionMs)
+  const suspicionMs = Math.min(initialSuspicionMs * 2 ** (instance.failures - 1), maxSuspicionMs)
   instance.suspectUntilMs = nowMs + suspicionMs
   return suspicionMs
 }
@@ -59,7 +62,7 @@
   instance.suspectUntilMs = 0
 }
 
-/// Notes that the instance has read these parts of a prompt.
+/// Marks prompt parts as cached by the instance and evicts the least recently used ones beyond the limit.
 export function recordCachedParts (instance: Instance, partIds: readonly string[]): void {
   const { cachedParts } = instance
   for (const id of partIds) {
--- a/process/instances/src/registry.ts
+++ b/process/instances/src/registry.ts
@@ -5,37 +5,38 @@
 import type { EventLog } from '#process/log'
 import type { Instance, InstanceDescription } from './instance.js'
 
-/// Reads an entry of the platform's list; null where it names no usable instance.
+/// Parses an object of the platform's store. Returns null if it doesn't describe a usable instance.
 export type ParseInstance = (object: StoredObject) => InstanceDescription | null
 
 export interface RegistryOptions {
   readonly parseInstance: ParseInstance
   readonly connect: (description: InstanceDescription) => InstanceClient
-  /// Called when an instance has come, gone or changed its state.
+  /// Called after instances may have been added, removed or changed.
   readonly onChange: () => void
 }
 
-/// Entries that lapsed while the store was away have this long to come back.
-const lapsedGraceMs = 2000
+/// How long an instance stays in use that is missing after a store outage. Its entry may have expired during the
+/// outage and be restored.
+const missingGraceMs = 2000
 
-/// The upstream instances that the platform lists.
+/// The upstream instances that are listed in the platform's store.
 export class InstanceRegistry implements WatchHandler {
   private readonly byId = new Map<string, Instance>()
-  private readonly held = new Map<string, ReturnType<typeof setTimeout>>()
-  private isKnown = false
+  private readonly removalTimers = new Map<string, ReturnType<typeof setTimeout>>()
+  private isListingReceived = false
 
   constructor (private readonly options: RegistryOptions, private readonly log: EventLog) {}
 
-  /// Whether the platform's list has been read.
+  /// Whether a listing has been received.
   get hasListing (): boolean {
-    return this.isKnown
+    return this.isListingReceived
   }
 
   get (id: string): Instance | undefined {
     return this.byId.get(id)
   }
 
-  /// The instances of a service that may be sent calls.
+  /// The instances of a service that accept new calls.
   * readyInstances (service: string): Generator<Instance> {
     for (const instance of this.byId.values()) {
       if (instance.description.service === service && instance.description.isReady) yield instance
@@ -43,7 +44,7 @@
   }
 
   onListing (listing: StoreListing, wasInterrupted: boolean): void {
-    this.isKnown = true
+    this.isListingReceived = true
     const seen = new Set<string>()
     for (const object of listing.objects) {
       seen.add(object.name)
@@ -51,7 +52,7 @@
     }
     for (const id of [...this.byId.keys()]) {
       if (seen.has(id)) continue
-      if (wasInterrupted) this.hold(id)
+      if (wasInterrupted) this.deferRemoval(id)
       else this.remove(id, 'not listed')
     }
     this.options.onChange()
@@ -67,14 +68,14 @@
     if (object !== null && description === null) {
       this.log.event(Events.instanceIgnored, { instanceId: id, kind: ObjectKind.instances, revision: object.revision })
     }
-    this.release(id)
+    this.cancelRemoval(id)
     if (description === null) this.remove(id, object === null ? 'deleted' : 'unusable')
-    else this.put(description)
+    else this.upsert(description)
   }
 
-  private put (description: InstanceDescription): void {
+  private upsert (description: InstanceDescription): void {
     const known = this.byId.get(description.id)
-    if (known !== undefined && isSamePlace(known.description, description)) {
+    if (known !== undefined && isSameEndpoint(known.description, description)) {
       const { isReady } = known.description
       known.description = description
       if (isReady !== description.isReady) {
@@ -105,28 +106,28 @@
     const instance = this.byId.get(id)
     if (instance === undefined) return
     this.byId.delete(id)
-    this.release(id)
+    this.cancelRemoval(id)
     instance.isRemoved = true
     instance.client.close()
     this.log.event(Events.instanceRemoved, { instanceId: id, reason })
   }
 
-  private hold (id: string): void {
-    if (this.held.has(id)) return
-    this.log.event(Events.instanceHeld, { instanceId: id, graceMs: lapsedGraceMs })
-    this.held.set(id, setTimeout(() => {
-      this.held.delete(id)
-      this.remove(id, 'still missing after an outage of the store')
+  private deferRemoval (id: string): void {
+    if (this.removalTimers.has(id)) return
+    this.log.event(Events.instanceHeld, { instanceId: id, graceMs: missingGraceMs })
+    this.removalTimers.set(id, setTimeout(() => {
+      this.removalTimers.delete(id)
+      this.remove(id, 'not restored after a store outage')
       this.options.onChange()
-    }, lapsedGraceMs))
+    }, missingGraceMs))
   }
 
-  private release (id: string): void {
-    clearTimeout(this.held.get(id))
-    this.held.delete(id)
+  private cancelRemoval (id: string): void {
+    clearTimeout(this.removalTimers.get(id))
+    this.removalTimers.delete(id)
   }
 }
 
-function isSamePlace (a: InstanceDescription, b: InstanceDescription): boolean {
+function isSameEndpoint (a: InstanceDescription, b: InstanceDescription): boolean {
   return a.address === b.address && a.service === b.service
 }
--- a/process/instances/test/registry.test.ts
+++ b/process/instances/test/registry.test.ts
@@ -8,12 +8,12 @@
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
 
-function entry (name: string, fields: object = {}): StoredObject {
+function createObject (name: string, fields: object = {}): StoredObject {
   const spec = { service: 's', address: '10.0.0.1:80', zone: 'z', slots: 4, state: 'ready', ...fields }
   return { name, revision: 1, spec, status: null }
 }
 
-function registry (): InstanceRegistry {
+function createRegistry (): InstanceRegistry {
   return new InstanceRegistry({
     parseInstance,
     connect: ({ address }) => new InstanceClient(address, 4),
@@ -21,51 +21,51 @@
   }, noopLog)
 }
 
-function ids (instances: InstanceRegistry): string[] {
-  return [...instances.readyInstances('s')].map(instance => instance.description.id)
+function getReadyIds (registry: InstanceRegistry): string[] {
+  return [...registry.readyInstances('s')].map(instance => instance.description.id)
 }
 
-test('instances that are leaving or gone get no calls', () => {
-  const instances = registry()
-  instances.onListing({ objects: [entry('a'), entry('b'), entry('c')], revision: 1 }, false)
-  instances.onChanges([{ name: 'a', object: entry('a', { state: 'draining' }) }, { name: 'b', object: null }])
-  expect(ids(instances)).toEqual(['c'])
+test('draining and deleted instances are not among the ready ones', () => {
+  const registry = createRegistry()
+  registry.onListing({ objects: [createObject('a'), createObject('b'), createObject('c')], revision: 1 }, false)
+  registry.onChanges([{ name: 'a', object: createObject('a', { state: 'draining' }) }, { name: 'b', object: null }])
+  expect(getReadyIds(registry)).toEqual(['c'])
 })
 
-test('what lapsed during an outage has two seconds to come back', () => {
-  const instances = registry()
-  instances.onListing({ objects: [entry('a'), entry('b')], revision: 1 }, false)
-  instances.onListing({ objects: [], revision: 2 }, true)
-  expect(ids(instances)).toEqual(['a', 'b'])
+test('an instance missing after a store outage is removed if it does not return within two seconds', () => {
+  const registry = createRegistry()
+  registry.onListing({ objects: [createObject('a'), createObject('b')], revision: 1 }, false)
+  registry.onListing({ objects: [], revision: 2 }, true)
+  expect(getReadyIds(registry)).toEqual(['a', 'b'])
   vi.advanceTimersByTime(1500)
-  instances.onChanges([{ name: 'a', object: entry('a') }])
+  registry.onChanges([{ name: 'a', object: createObject('a') }])
   vi.advanceTimersByTime(600)
-  expect(ids(instances)).toEqual(['a'])
+  expect(getReadyIds(registry)).toEqual(['a'])
 })
 
-test('without an outage a missing entry is gone at once', () => {
-  const instances = registry()
-  instances.onListing({ objects: [entry('a')], revision: 1 }, false)
-  instances.onListing({ objects: [], revision: 2 }, false)
-  expect(ids(instances)).toEqual([])
+test('an instance missing from a listing is removed immediately if there was no outage', () => {
+  const registry = createRegistry()
+  registry.onListing({ objects: [createObject('a')], revision: 1 }, false)
+  registry.onListing({ objects: [], revision: 2 }, false)
+  expect(getReadyIds(registry)).toEqual([])
 })
 
-test('the same id at another address is another instance', () => {
-  const instances = registry()
-  instances.onListing({ objects: [entry('a')], revision: 1 }, false)
-  const before = instances.get('a')
-  instances.onChanges([{ name: 'a', object: entry('a', { address: '10.0.0.2:80' }) }])
-  expect(instances.get('a')).not.toBe(before)
+test('an instance is replaced when its address changes', () => {
+  const registry = createRegistry()
+  registry.onListing({ objects: [createObject('a')], revision: 1 }, false)
+  const before = registry.get('a')
+  registry.onChanges([{ name: 'a', object: createObject('a', { address: '10.0.0.2:80' }) }])
+  expect(registry.get('a')).not.toBe(before)
   expect(before?.isRemoved).toBe(true)
 })
 
 test.each([
   ['no state', { state: undefined }],
-  ['a state without a meaning', { state: 'asleep' }],
-  ['an address that is none', { address: 'somewhere' }],
-  ['slots of another type', { slots: 'four' }]
-])("another writer's entry names no instance: %s", (_, fields) => {
-  const instances = registry()
-  instances.onListing({ objects: [entry('a', fields), entry('b')], revision: 1 }, false)
-  expect(ids(instances)).toEqual(['b'])
+  ['an unknown state', { state: 'asleep' }],
+  ['an invalid address', { address: 'somewhere' }],
+  ['slots that are not a number', { slots: 'four' }]
+])('an object that another writer stored with %s is ignored, and other instances are still listed', (_, fields) => {
+  const registry = createRegistry()
+  registry.onListing({ objects: [createObject('a', fields), createObject('b')], revision: 1 }, false)
+  expect(getReadyIds(registry)).toEqual(['b'])
 })
