--- a/request/call/src/call.ts
+++ b/request/call/src/call.ts
@@ -1,23 +1,23 @@
-/// One attempt of a caller at a request, as the product understands it.
+/// One attempt of a caller at a request, as read from its head.
 export interface Call {
-  /// Unique to this attempt; the upstream echoes it.
+  /// Unique to this attempt; upstream instances repeat it in the response.
   readonly id: string
   readonly method: string
-  /// Path with query, as it was received.
+  /// Path with query, as received.
   readonly path: string
   readonly host: string
-  /// Headers to pass on, names and values alternating, as they were received.
+  /// Headers to forward, as received: names and values alternating.
   readonly forwardedHeaders: readonly string[]
-  /// How long the caller waits, from `receivedAtMs`.
+  /// How long the caller waits for the response, from `receivedAtMs`.
   readonly callerTimeoutMs: number
-  /// On the runtime's monotonic clock.
+  /// On the monotonic clock of `performance.now()`.
   readonly receivedAtMs: number
   readonly program: ProgramRef | null
   readonly previousTurnId: string | null
   readonly usage: TokenUsage | null
-  /// The shared parts of the prompt, outermost first.
+  /// The parts of the prompt that other prompts may share, in order from its start.
   readonly prefix: readonly PrefixPart[]
-  /// The last event that the caller holds already, -1 for none.
+  /// Id of the last event that the caller has received, -1 for none.
   readonly lastEventId: number
 }
 
@@ -25,13 +25,13 @@
 export interface ProgramRef {
   readonly id: string
   readonly sessionId: string
-  /// Until the program should be finished, from the call's arrival.
+  /// Time from the call's arrival until the program should be completed.
   readonly remainingMs: number
-  /// Tokens that all turns of the program may generate; null where none is set.
+  /// Limit on the tokens that all turns of the program generate together; null for no limit.
   readonly tokenBudget: number | null
 }
 
-/// The sizes that a turn declares.
+/// Token counts that the caller declares for a turn.
 export interface TokenUsage {
   readonly promptTokens: number
   readonly maxOutputTokens: number
@@ -43,7 +43,7 @@
   readonly tokens: number
 }
 
-/// A call whose headers can't be used, with the reason for the log.
+/// Thrown if a call's headers are missing or malformed. The message names the problem.
 export class InvalidCallError extends Error {
   override readonly name = 'InvalidCallError'
 }
--- a/request/call/src/outcome.ts
+++ b/request/call/src/refusal.ts
@@ -1,6 +1,6 @@
 import { Verdict } from './verdict.js'
 
-/// Why a call ended without an upstream's answer.
+/// Why a call ends without a complete upstream response. Sent to callers as the error code.
 export const Refusal = {
   invalid: 'invalid',
   bodyTooLarge: 'body-too-large',
@@ -19,7 +19,7 @@
 
 export type Refusal = typeof Refusal[keyof typeof Refusal]
 
-/// How a call ends that no upstream answered.
+/// Thrown to end a call with an error response of the system's own.
 export class RefusedError extends Error {
   override readonly name = 'RefusedError'
 
@@ -27,13 +27,14 @@
     readonly refusal: Refusal,
     readonly verdict: Verdict,
     message: string,
-    /// When trying again may help; 0 where that isn't known.
+    /// How long to wait before a retry; 0 if unknown.
     readonly retryAfterMs = 0
   ) {
     super(message)
   }
 
-  /// Statuses that promise "not run" are used only with that verdict.
+  /// HTTP status of the error response. Statuses that promise that the request did not run
+  /// are used only with the verdict `notRun`.
   get status (): number {
     return this.verdict === Verdict.notRun ? notRunStatus[this.refusal] : mayHaveRunStatus[this.refusal] ?? 502
   }
--- a/request/call/src/verdict.ts
+++ b/request/call/src/verdict.ts
@@ -1,4 +1,4 @@
-/// Whether a request may have run: `notRun` is only said when proved.
+/// Whether a request may have run. `notRun` is used only if that is proven.
 export const Verdict = {
   notRun: 'not-run',
   ran: 'ran',
