--- a/connection/rpc/src/client.ts
+++ b/connection/rpc/src/client.ts
@@ -3,7 +3,7 @@
 import { LedgerClient } from './generated/ledger.js'
 import type { AppendReply, AppendRequest, DigestReply, DigestRequest, FetchReply, FetchRequest, FindChainReply, FindChainRequest, Replies, Reply, Request, Requests } from './generated/ledger.js'
 
-/// What can be asked of a storage instance. A test's fake stands in for it.
+/// The operations of a storage instance. Tests substitute a fake.
 export interface LedgerPeer {
   append (request: AppendRequest, timeoutMs: number): Promise<AppendReply>
   findChain (request: FindChainRequest, timeoutMs: number): Promise<FindChainReply>
@@ -12,11 +12,11 @@
   close (): void
 }
 
-/// A peer did not answer in time, or not at all.
+/// A request to a peer timed out or failed.
 export class PeerError extends Error {
   override readonly name = 'PeerError'
 
-  /// `isSilent` is false where the peer has answered other requests meanwhile: it is slow, not gone.
+  /// `isSilent` is false if the peer replied to other requests in the meantime: it is slow, not unresponsive.
   constructor (message: string, readonly isSilent = true) {
     super(message)
   }
@@ -30,87 +30,87 @@
   'grpc.enable_http_proxy': 0,
   'grpc.use_local_subchannel_pool': 1
 }
-// A connection that has let this many requests in a row run out of time is taken for a silent one.
+/// Requests that time out in a row without any reply from the peer before the connection is replaced.
 const timeoutsBeforeReconnect = 2
-/// A timer that is this late shows that the loop stood still.
-const stallMs = 15
-/// What has arrived meanwhile gets this long to be read.
+/// A timer that fires later than this shows that the event loop stalled.
+const stallThresholdMs = 15
+/// After a stall, replies that have already arrived get this long to be read.
 const stallGraceMs = 60
 
 type Session = ClientDuplexStream<Requests, Replies>
 
-interface Pending {
+interface PendingRequest {
   readonly timer: ReturnType<typeof setTimeout>
   resolve (reply: Reply): void
   reject (error: PeerError): void
 }
 
-/// What the connections to one peer know together.
-export interface Hearing {
+/// State shared by all connections to one peer.
+export interface PeerLiveness {
   lastReplyMs: number
-  /// Requests in a row that ran out of time while nothing at all came from the peer.
-  timeouts: number
-  /// How often the peer was found silent; each connection is replaced after that.
-  silences: number
+  /// Requests that timed out in a row while no connection received a reply.
+  consecutiveTimeouts: number
+  /// Incremented when the peer is found unresponsive; connections of an older generation are then replaced.
+  generation: number
 }
 
-export function newHearing (): Hearing {
-  return { lastReplyMs: -Infinity, timeouts: 0, silences: 0 }
+export function createPeerLiveness (): PeerLiveness {
+  return { lastReplyMs: -Infinity, consecutiveTimeouts: 0, generation: 0 }
 }
 
-/// A storage instance over one gRPC stream. Requests of one turn of the loop
-/// share a message. A connection that went silent is replaced.
+/// A storage instance reached over one gRPC stream. Requests of one event loop
+/// iteration share a message. An unresponsive connection is replaced.
 export class LedgerConnection implements LedgerPeer {
   private client: LedgerClient | null = null
   private session: Session | null = null
-  private readonly pending = new Map<number, Pending>()
+  private readonly pending = new Map<number, PendingRequest>()
   private outgoing: Request[] = []
   private lastNumber = 0
-  private timeouts = 0
+  private consecutiveTimeouts = 0
   private lastReplyMs = -Infinity
-  private silences = 0
+  private generation = 0
   private isClosed = false
 
-  constructor (private readonly address: string, private readonly hearing: Hearing = newHearing()) {}
+  constructor (private readonly address: string, private readonly liveness: PeerLiveness = createPeerLiveness()) {}
 
   async append (request: AppendRequest, timeoutMs: number): Promise<AppendReply> {
-    return (await this.ask({ append: request }, timeoutMs)).append!
+    return (await this.sendRequest({ append: request }, timeoutMs)).append!
   }
 
   async findChain (request: FindChainRequest, timeoutMs: number): Promise<FindChainReply> {
-    return (await this.ask({ findChain: request }, timeoutMs)).findChain!
+    return (await this.sendRequest({ findChain: request }, timeoutMs)).findChain!
   }
 
   async digest (request: DigestRequest, timeoutMs: number): Promise<DigestReply> {
-    return (await this.ask({ digest: request }, timeoutMs)).digest!
+    return (await this.sendRequest({ digest: request }, timeoutMs)).digest!
   }
 
   async fetch (request: FetchRequest, timeoutMs: number): Promise<FetchReply> {
-    return (await this.ask({ fetch: request }, timeoutMs)).fetch!
+    return (await this.sendRequest({ fetch: request }, timeoutMs)).fetch!
   }
 
   close (): void {
     this.isClosed = true
-    this.drop('closed')
+    this.tearDown('closed')
   }
 
-  private ask (question: Partial<Request>, timeoutMs: number): Promise<Reply> {
-    if (this.isClosed) return Promise.reject(new PeerError(`${this.address}: closed`))
-    if (this.silences !== this.hearing.silences) {
-      this.silences = this.hearing.silences
-      this.drop('silent')
+  private sendRequest (operation: Partial<Request>, timeoutMs: number): Promise<Reply> {
+    if (this.isClosed) return Promise.reject(new PeerError(`${this.address}: connection is closed`))
+    if (this.generation !== this.liveness.generation) {
+      this.generation = this.liveness.generation
+      this.tearDown('silent')
     }
     return new Promise((resolve, reject) => {
       const number = this.lastNumber = (this.lastNumber + 1) % 0x7fffffff
       const sentAtMs = performance.now()
-      // After a stall of the loop, answers that have arrived are read before the time is up.
+      // After an event loop stall, replies that have already arrived are read before the request times out.
       const timer = setTimeout(() => {
-        const wasStalled = performance.now() - sentAtMs - timeoutMs > stallMs
-        setTimeout(() => this.expire(number, sentAtMs), wasStalled ? stallGraceMs : 0)
+        const wasStalled = performance.now() - sentAtMs - timeoutMs > stallThresholdMs
+        setTimeout(() => this.handleTimeout(number, sentAtMs), wasStalled ? stallGraceMs : 0)
       }, timeoutMs)
       this.pending.set(number, { timer, resolve, reject })
       if (this.outgoing.length === 0) queueMicrotask(() => this.flush())
-      this.outgoing.push({ ...blankRequest, ...question, number })
+      this.outgoing.push({ ...emptyRequest, ...operation, number })
     })
   }
 
@@ -126,53 +126,53 @@
     this.client ??= new LedgerClient(this.address, credentials.createInsecure(), channelOptions)
     const session = this.client.session()
     session.on('data', (replies: Replies) => {
-      for (const reply of replies.replies) this.settle(reply)
+      for (const reply of replies.replies) this.handleReply(reply)
     })
-    session.on('error', (error: Error) => this.lose(session, error.message))
-    session.on('end', () => this.lose(session, 'the stream ended'))
+    session.on('error', (error: Error) => this.handleSessionEnd(session, error.message))
+    session.on('end', () => this.handleSessionEnd(session, 'the peer ended the stream'))
     return session
   }
 
-  private settle (reply: Reply): void {
-    this.timeouts = this.hearing.timeouts = 0
-    this.lastReplyMs = this.hearing.lastReplyMs = performance.now()
-    const pending = this.take(reply.number)
+  private handleReply (reply: Reply): void {
+    this.consecutiveTimeouts = this.liveness.consecutiveTimeouts = 0
+    this.lastReplyMs = this.liveness.lastReplyMs = performance.now()
+    const pending = this.removePending(reply.number)
     if (pending === undefined) return
     if (reply.error === '') pending.resolve(reply)
     else pending.reject(new PeerError(`${this.address}: ${reply.error}`))
   }
 
-  private take (number: number): Pending | undefined {
+  private removePending (number: number): PendingRequest | undefined {
     const pending = this.pending.get(number)
     this.pending.delete(number)
     clearTimeout(pending?.timer)
     return pending
   }
 
-  private expire (number: number, sentAtMs: number): void {
-    const pending = this.take(number)
+  private handleTimeout (number: number, sentAtMs: number): void {
+    const pending = this.removePending(number)
     if (pending === undefined) return
-    const { hearing } = this
-    const isSilent = hearing.lastReplyMs < sentAtMs
-    pending.reject(new PeerError(`${this.address}: no answer in time`, isSilent))
-    if (isSilent && ++hearing.timeouts >= timeoutsBeforeReconnect) {
-      hearing.timeouts = 0
-      hearing.silences++
+    const { liveness } = this
+    const isSilent = liveness.lastReplyMs < sentAtMs
+    pending.reject(new PeerError(`${this.address}: request timed out`, isSilent))
+    if (isSilent && ++liveness.consecutiveTimeouts >= timeoutsBeforeReconnect) {
+      liveness.consecutiveTimeouts = 0
+      liveness.generation++
     }
-    if (this.lastReplyMs < sentAtMs && ++this.timeouts >= timeoutsBeforeReconnect) this.drop('silent')
+    if (this.lastReplyMs < sentAtMs && ++this.consecutiveTimeouts >= timeoutsBeforeReconnect) this.tearDown('silent')
   }
 
-  /// The session is gone; what it carried has no answer.
-  private lose (session: Session, reason: string): void {
+  /// Rejects the requests of a session that failed or ended; their replies are lost.
+  private handleSessionEnd (session: Session, reason: string): void {
     if (session !== this.session) return
     this.session = null
     this.rejectAll(reason)
   }
 
-  /// Gives up the connection; the next request opens another one.
-  private drop (reason: string): void {
+  /// Closes the connection and rejects its requests; the next request opens a new one.
+  private tearDown (reason: string): void {
     const { client, session } = this
-    this.timeouts = 0
+    this.consecutiveTimeouts = 0
     this.client = null
     this.session = null
     session?.cancel()
@@ -182,13 +182,13 @@
 
   private rejectAll (reason: string): void {
     for (const number of [...this.pending.keys()]) {
-      this.take(number)?.reject(new PeerError(`${this.address}: ${reason}`))
+      this.removePending(number)?.reject(new PeerError(`${this.address}: connection lost: ${reason}`))
     }
     this.outgoing = []
   }
 }
 
-const blankRequest: Request = {
+const emptyRequest: Request = {
   number: 0,
   append: undefined,
   findChain: undefined,
--- a/connection/rpc/src/connectionpool.ts
+++ b/connection/rpc/src/connectionpool.ts
@@ -1,43 +1,43 @@
-import { LedgerConnection, newHearing } from './client.js'
+import { LedgerConnection, createPeerLiveness } from './client.js'
 import type { LedgerPeer } from './client.js'
 import type { AppendReply, AppendRequest, DigestReply, DigestRequest, FetchReply, FetchRequest, FindChainReply, FindChainRequest } from './generated/ledger.js'
 
-/// A connection may have 64 KiB under way until the other side has said that it
-/// has read them; a busy loop hears that late, so several connections share the load.
-const laneCount = 4
+/// Flow control allows 64 KiB in flight on a connection until the peer acknowledges reading them. A busy event loop
+/// processes the acknowledgement late, so several connections share the load.
+const connectionCount = 4
 
-/// A storage instance over several connections, taken in turn.
+/// A storage instance reached over several connections, used round-robin.
 export class LedgerConnectionPool implements LedgerPeer {
-  private readonly lanes: readonly LedgerPeer[]
-  private next = 0
+  private readonly connections: readonly LedgerPeer[]
+  private nextIndex = 0
 
   constructor (address: string) {
-    const hearing = newHearing()
-    this.lanes = Array.from({ length: laneCount }, () => new LedgerConnection(address, hearing))
+    const liveness = createPeerLiveness()
+    this.connections = Array.from({ length: connectionCount }, () => new LedgerConnection(address, liveness))
   }
 
   append (request: AppendRequest, timeoutMs: number): Promise<AppendReply> {
-    return this.lane.append(request, timeoutMs)
+    return this.nextConnection.append(request, timeoutMs)
   }
 
   findChain (request: FindChainRequest, timeoutMs: number): Promise<FindChainReply> {
-    return this.lane.findChain(request, timeoutMs)
+    return this.nextConnection.findChain(request, timeoutMs)
   }
 
   digest (request: DigestRequest, timeoutMs: number): Promise<DigestReply> {
-    return this.lane.digest(request, timeoutMs)
+    return this.nextConnection.digest(request, timeoutMs)
   }
 
   fetch (request: FetchRequest, timeoutMs: number): Promise<FetchReply> {
-    return this.lane.fetch(request, timeoutMs)
+    return this.nextConnection.fetch(request, timeoutMs)
   }
 
   close (): void {
-    for (const lane of this.lanes) lane.close()
+    for (const connection of this.connections) connection.close()
   }
 
-  private get lane (): LedgerPeer {
-    this.next = (this.next + 1) % laneCount
-    return this.lanes[this.next]!
+  private get nextConnection (): LedgerPeer {
+    this.nextIndex = (this.nextIndex + 1) % connectionCount
+    return this.connections[this.nextIndex]!
   }
 }
--- a/connection/rpc/src/recordkind.ts
+++ b/connection/rpc/src/recordkind.ts
@@ -1,2 +1,2 @@
-/// What a record says. The numbers are the wire's and the disk's.
+/// Kinds of records. The numbers are used on the wire and on disk.
 export const RecordKind = { reservation: 1, settlement: 2, turn: 3 } as const
--- a/connection/rpc/src/server.ts
+++ b/connection/rpc/src/server.ts
@@ -4,7 +4,7 @@
 import { LedgerService } from './generated/ledger.js'
 import type { AppendReply, AppendRequest, DigestReply, DigestRequest, FetchReply, FetchRequest, FindChainReply, FindChainRequest, Replies, Reply, Request, Requests } from './generated/ledger.js'
 
-/// What a storage instance answers.
+/// Handles the requests to a storage instance. A rejection is sent to the requester as the reply's `error`.
 export interface LedgerHandler {
   append (request: AppendRequest): Promise<AppendReply>
   findChain (request: FindChainRequest): Promise<FindChainReply>
@@ -14,15 +14,15 @@
 
 type Session = ServerDuplexStream<Requests, Replies>
 
-/// Serves the ledger to entries and peers.
+/// Serves a storage instance's records to entries and other storage instances.
 export class LedgerServer {
   private readonly server = new Server({ 'grpc.max_receive_message_length': 16 * 1024 * 1024 })
 
   constructor (private readonly handler: LedgerHandler) {
-    this.server.addService(LedgerService, { session: (session: Session) => this.serve(session) })
+    this.server.addService(LedgerService, { session: (session: Session) => this.handleSession(session) })
   }
 
-  /// Returns the port, which the system picks where `address` has port 0.
+  /// Returns the bound port, which the operating system chooses if `address` has port 0.
   listen (address: string): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.bindAsync(address, ServerCredentials.createInsecure(), (error, port) => {
@@ -36,32 +36,32 @@
     this.server.forceShutdown()
   }
 
-  private serve (session: Session): void {
+  private handleSession (session: Session): void {
     const replies = new ReplyBatch(session)
     session.on('data', ({ requests }: Requests) => {
       for (const request of requests) {
-        this.answer(request)
+        this.handleRequest(request)
           .catch((error: unknown) => ({ error: errorMessage(error) }))
-          .then(reply => replies.add({ ...blankReply, ...reply, number: request.number }))
+          .then(reply => replies.add({ ...emptyReply, ...reply, number: request.number }))
       }
     })
     session.on('end', () => session.end())
-    // A caller that is gone gets no more answers; what it asked for is done all the same.
+    // A disconnected peer gets no more replies, but its requests are still completed.
     session.on('error', () => replies.stop())
     session.on('cancelled', () => replies.stop())
   }
 
-  private async answer (request: Request): Promise<Partial<Reply>> {
+  private async handleRequest (request: Request): Promise<Partial<Reply>> {
     const { handler } = this
     if (request.append !== undefined) return { append: await handler.append(request.append) }
     if (request.findChain !== undefined) return { findChain: await handler.findChain(request.findChain) }
     if (request.digest !== undefined) return { digest: await handler.digest(request.digest) }
     if (request.fetch !== undefined) return { fetch: await handler.fetch(request.fetch) }
-    return { error: 'an empty request' }
+    return { error: 'the request holds no operation' }
   }
 }
 
-/// Gathers the answers of one turn of the loop in one message.
+/// Collects the replies of one event loop iteration into one message.
 class ReplyBatch {
   private replies: Reply[] = []
   private isStopped = false
@@ -85,6 +85,6 @@
   }
 }
 
-const blankReply: Reply = {
+const emptyReply: Reply = {
   number: 0, append: undefined, findChain: undefined, digest: undefined, fetch: undefined, error: ''
 }
--- a/connection/rpc/test/client.test.ts
+++ b/connection/rpc/test/client.test.ts
@@ -5,110 +5,110 @@
 import type { LedgerHandler, LedgerPeer, Standing } from '#connection/rpc'
 
 const standing: Standing = { diskId: 'd', viewVersion: 1, newerView: undefined }
-const never = new Promise<never>(() => {})
-/// Answers digests at once and appends never.
-const halfDeaf: LedgerHandler = {
-  append: () => never,
-  findChain: () => never,
+const neverSettles = new Promise<never>(() => {})
+/// Replies to `digest` and `fetch` at once; `append` and `findChain` never settle.
+const digestOnlyHandler: LedgerHandler = {
+  append: () => neverSettles,
+  findChain: () => neverSettles,
   digest: async () => ({ standing, keys: [], nextCursor: 0, atEnd: true, epoch: 'e' }),
   fetch: async () => ({ standing, records: [] })
 }
 const append = { viewVersion: 1, records: [], accountOf: '' }
 const digest = { viewVersion: 1, cursor: 0, limit: 0, epoch: '' }
-const closes: (() => void)[] = []
+const cleanups: (() => void)[] = []
 
-type Connect = (address: string) => LedgerPeer
+type CreatePeer = (address: string) => LedgerPeer
 
-async function connect (handler: LedgerHandler, open: Connect): Promise<LedgerPeer> {
+async function startServerAndConnect (handler: LedgerHandler, createPeer: CreatePeer): Promise<LedgerPeer> {
   const server = new LedgerServer(handler)
-  const connection = open(`127.0.0.1:${await server.listen('127.0.0.1:0')}`)
-  closes.push(() => server.close(), () => connection.close())
+  const connection = createPeer(`127.0.0.1:${await server.listen('127.0.0.1:0')}`)
+  cleanups.push(() => server.close(), () => connection.close())
   return connection
 }
 
-async function failureOf (work: Promise<unknown>): Promise<PeerError> {
-  return await work.then(() => { throw new Error('it was answered') }, (error: PeerError) => error)
+async function getRejection (promise: Promise<unknown>): Promise<PeerError> {
+  return await promise.then(() => { throw new Error('expected a rejection') }, (error: PeerError) => error)
 }
 
 afterEach(() => {
-  for (const close of closes.splice(0)) close()
+  for (const cleanup of cleanups.splice(0)) cleanup()
 })
 
-describe.each<[string, Connect]>([
+describe.each<[string, CreatePeer]>([
   ['one connection', address => new LedgerConnection(address)],
   ['several connections', address => new LedgerConnectionPool(address)]
-])('%s', (_, open) => {
-  test('a peer that answers other requests meanwhile is slow, not silent', async () => {
+])('%s', (_, createPeer) => {
+  test('a peer that replies to other requests in the meantime is reported as slow, not unresponsive', async () => {
     const timeoutMs = 600
-    const connection = await connect(halfDeaf, open)
-    // Each connection is opened before, so that the answer comes while the append waits.
+    const connection = await startServerAndConnect(digestOnlyHandler, createPeer)
+    // Opens every connection first, so that the reply to `digest` arrives while `append` is pending.
     await Promise.all([1, 2, 3, 4].map(() => connection.digest(digest, 5000)))
-    const waiting = failureOf(connection.append(append, timeoutMs))
-    const askedAtMs = performance.now()
+    const rejection = getRejection(connection.append(append, timeoutMs))
+    const sentAtMs = performance.now()
     await connection.digest(digest, 5000)
-    expect(performance.now() - askedAtMs).toBeLessThan(timeoutMs)
-    const failure = await waiting
+    expect(performance.now() - sentAtMs).toBeLessThan(timeoutMs)
+    const failure = await rejection
     expect([failure.name, failure.isSilent]).toEqual(['PeerError', false])
   })
 
-  test('an answer counts also where the timer that follows it is late', async () => {
-    const connection = await connect(halfDeaf, open)
+  test('a reply to another request shows that the peer responds, even if the timeout fires late', async () => {
+    const connection = await startServerAndConnect(digestOnlyHandler, createPeer)
     await Promise.all([1, 2, 3, 4].map(() => connection.digest(digest, 5000)))
-    const waiting = failureOf(connection.append(append, 200))
+    const rejection = getRejection(connection.append(append, 200))
     await connection.digest(digest, 5000)
     const untilMs = performance.now() + 400
     while (performance.now() < untilMs);
-    expect((await waiting).isSilent).toBe(false)
+    expect((await rejection).isSilent).toBe(false)
   })
 
-  test('a peer that answers nothing is silent, and is asked over a new connection', async () => {
-    const connection = await connect(halfDeaf, open)
-    for (let i = 0; i < 2; i++) expect((await failureOf(connection.append(append, 60))).isSilent).toBe(true)
+  test('a peer without any reply is reported as unresponsive, and the next request uses a new connection', async () => {
+    const connection = await startServerAndConnect(digestOnlyHandler, createPeer)
+    for (let i = 0; i < 2; i++) expect((await getRejection(connection.append(append, 60))).isSilent).toBe(true)
     expect((await connection.digest(digest, 1000)).epoch).toBe('e')
   })
 
-  test('answers that arrived while the loop stood still count as in time', async () => {
-    const connection = await connect(halfDeaf, open)
+  test('a reply that arrived during an event loop stall counts as in time', async () => {
+    const connection = await startServerAndConnect(digestOnlyHandler, createPeer)
     await connection.digest(digest, 1000)
-    const waiting = connection.digest(digest, 50)
+    const reply = connection.digest(digest, 50)
     await new Promise(resolve => setImmediate(resolve))
     const untilMs = performance.now() + 120
     while (performance.now() < untilMs);
-    expect((await waiting).epoch).toBe('e')
+    expect((await reply).epoch).toBe('e')
   })
 })
 
-test('a port without a listener fails at once', async () => {
+test('a request to a port without a listener fails before its timeout', async () => {
   const connection = new LedgerConnection('127.0.0.1:1')
-  closes.push(() => connection.close())
+  cleanups.push(() => connection.close())
   const startedAtMs = performance.now()
-  await failureOf(connection.digest(digest, 2000))
+  await getRejection(connection.digest(digest, 2000))
   expect(performance.now() - startedAtMs).toBeLessThan(1000)
 })
 
-/// Passes bytes on until it is muted; connections opened after that are passed on again.
-async function startMutingProxy (port: number): Promise<{ port: number, mute: () => void }> {
-  const open: Socket[] = []
+/// Forwards bytes. `stopForwarding` applies to the connections open at that moment; later ones are forwarded again.
+async function startProxy (port: number): Promise<{ port: number, stopForwarding: () => void }> {
+  const sockets: Socket[] = []
   const server = createServer(socket => {
-    const onward = createConnection(port, '127.0.0.1')
-    open.push(socket, onward)
-    socket.pipe(onward).pipe(socket)
+    const upstreamSocket = createConnection(port, '127.0.0.1')
+    sockets.push(socket, upstreamSocket)
+    socket.pipe(upstreamSocket).pipe(socket)
   })
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
-  closes.push(() => server.close(), () => { for (const socket of open) socket.destroy() })
+  cleanups.push(() => server.close(), () => { for (const socket of sockets) socket.destroy() })
   return {
     port: (server.address() as AddressInfo).port,
-    mute: () => { for (const socket of open) socket.unpipe() }
+    stopForwarding: () => { for (const socket of sockets) socket.unpipe() }
   }
 }
 
-test('once all connections went silent, two calls that run out of time are enough to replace them', async () => {
-  const server = new LedgerServer(halfDeaf)
-  const proxy = await startMutingProxy(await server.listen('127.0.0.1:0'))
-  const lanes = new LedgerConnectionPool(`127.0.0.1:${proxy.port}`)
-  closes.push(() => server.close(), () => lanes.close())
-  for (let i = 0; i < 4; i++) await lanes.digest(digest, 1000)
-  proxy.mute()
-  for (let i = 0; i < 2; i++) expect((await failureOf(lanes.digest(digest, 60))).isSilent).toBe(true)
-  for (let i = 0; i < 4; i++) expect((await lanes.digest(digest, 1000)).epoch).toBe('e')
+test('two timeouts are enough to replace all connections of a pool once they are unresponsive', async () => {
+  const server = new LedgerServer(digestOnlyHandler)
+  const proxy = await startProxy(await server.listen('127.0.0.1:0'))
+  const pool = new LedgerConnectionPool(`127.0.0.1:${proxy.port}`)
+  cleanups.push(() => server.close(), () => pool.close())
+  for (let i = 0; i < 4; i++) await pool.digest(digest, 1000)
+  proxy.stopForwarding()
+  for (let i = 0; i < 2; i++) expect((await getRejection(pool.digest(digest, 60))).isSilent).toBe(true)
+  for (let i = 0; i < 4; i++) expect((await pool.digest(digest, 1000)).epoch).toBe('e')
 })
