--- a/connection/header/src/codec.ts
+++ b/connection/header/src/codec.ts
@@ -1,8 +1,8 @@
 import { InvalidCallError } from '#request/call'
 import type { Call, PrefixPart, ProgramRef, TokenUsage } from '#request/call'
 
-/// The names that an HTTP dialect gives to the product's header fields, in
-/// lower case. `reserved` are set by the system only: a caller's are dropped.
+/// The names of the header fields that the system reads and writes, in lower
+/// case. `reserved` fields are set only by the system; those of a caller are dropped.
 export interface HeaderNames {
   readonly callId: string
   readonly callerTimeoutMs: string
@@ -21,58 +21,59 @@
   readonly reserved: readonly string[]
 }
 
-/// What a caller's request says before its body.
+/// Request line and headers of a caller's request.
 export interface RequestHead {
   readonly method: string
   readonly path: string
   readonly headers: Readonly<Record<string, string | string[] | undefined>>
+  /// Names and values alternating, as they were received.
   readonly rawHeaders: readonly string[]
 }
 
-/// What an upstream's answer says before its body.
+/// Status and headers of an upstream response.
 export interface ResponseHead {
   readonly status: number
   /// Names in lower case.
   readonly headers: Readonly<Record<string, string | string[] | undefined>>
 }
 
-/// An answer's head in the product's terms.
+/// What the headers of an upstream response say about the request and the instance.
 export interface ResponseFields {
   readonly callId: string | null
   readonly isSigned: boolean
-  /// The upstream says that it did not run the request.
+  /// The upstream reports that it did not run the request.
   readonly isNotRun: boolean
   readonly isEncoded: boolean
   readonly load: UpstreamLoad | null
 }
 
-/// What an upstream tells of itself with an answer.
+/// The load that an upstream instance reports with a response.
 export interface UpstreamLoad {
   readonly running: number
   readonly waiting: number
   readonly slots: number
 }
 
-/// What the system adds when it passes a call on.
+/// Values for the headers that the system sets on a forwarded call.
 export interface Dispatch {
   readonly instanceId: string
   readonly remainingMs: number
-  /// The last event that the caller holds, -1 for none.
+  /// The last event that the caller has received, -1 for none.
   readonly lastEventId: number
 }
 
-// RFC 9110, section 7.6.1, and what Node's own HTTP stack sets.
+// Those of RFC 9110, section 7.6.1, and those that Node's HTTP stack sets itself.
 const hopByHop = ['connection', 'keep-alive', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade',
   'content-length', 'host', 'expect']
-const maxPatienceMs = 600_000
-const defaultPatienceMs = 30_000
+const maxCallerTimeoutMs = 600_000
+const defaultCallerTimeoutMs = 30_000
 
-/// Reads and writes the product's header fields in one dialect of HTTP.
+/// Reads and writes the system's header fields under one set of names.
 export class HeaderCodec {
-  private readonly dropped: ReadonlySet<string>
+  private readonly droppedHeaders: ReadonlySet<string>
 
   constructor (private readonly names: HeaderNames) {
-    this.dropped = new Set([
+    this.droppedHeaders = new Set([
       ...hopByHop,
       ...names.reserved,
       names.expectedInstance,
@@ -81,42 +82,47 @@
     ])
   }
 
-  /// Throws `InvalidCallError` where a field that the product needs is missing or malformed.
+  /// Throws `InvalidCallError` if the call id or the host is missing or the call id has an invalid length. Other fields
+  /// that are missing or malformed count as absent.
   readCall (head: RequestHead, receivedAtMs: number): Call {
     const { names } = this
     const { headers } = head
-    const id = one(headers[names.callId])
-    if (id === null || id.length === 0 || id.length > 200) throw new InvalidCallError('no usable call id')
-    const host = one(headers.host)
-    if (host === null) throw new InvalidCallError('no host')
+    const id = firstValue(headers[names.callId])
+    if (id === null || id.length === 0 || id.length > 200) throw new InvalidCallError('no call id of 1-200 characters')
+    const host = firstValue(headers.host)
+    if (host === null) throw new InvalidCallError('the host header is missing')
     return {
       id,
       method: head.method,
       path: head.path,
       host,
-      forwardedHeaders: this.passed(head),
-      callerTimeoutMs: Math.min(positive(one(headers[names.callerTimeoutMs])) ?? defaultPatienceMs, maxPatienceMs),
+      forwardedHeaders: this.filterRequestHeaders(head),
+      callerTimeoutMs: Math.min(
+        parsePositive(firstValue(headers[names.callerTimeoutMs])) ?? defaultCallerTimeoutMs,
+        maxCallerTimeoutMs
+      ),
       receivedAtMs,
-      program: this.readProgram(headers),
-      previousTurnId: one(headers[names.previousTurnId]),
-      usage: readUsage(one(headers[names.usage])),
-      prefix: readPrefix(one(headers[names.prefix])),
-      lastEventId: positive(one(headers[names.lastEventId])) ?? (one(headers[names.lastEventId]) === '0' ? 0 : -1)
+      program: this.parseProgram(headers),
+      previousTurnId: firstValue(headers[names.previousTurnId]),
+      usage: parseUsage(firstValue(headers[names.usage])),
+      prefix: parsePrefix(firstValue(headers[names.prefix])),
+      lastEventId: parsePositive(firstValue(headers[names.lastEventId])) ??
+        (firstValue(headers[names.lastEventId]) === '0' ? 0 : -1)
     }
   }
 
   readResponse ({ headers }: ResponseHead): ResponseFields {
     const { names } = this
     return {
-      callId: one(headers[names.callId]),
+      callId: firstValue(headers[names.callId]),
       isSigned: headers[names.signature] !== undefined,
       isNotRun: headers[names.notRun] !== undefined,
       isEncoded: headers['content-encoding'] !== undefined,
-      load: readLoad(one(headers[names.load]))
+      load: parseLoad(firstValue(headers[names.load]))
     }
   }
 
-  /// The headers to send upstream, names and values alternating.
+  /// Returns the headers to send upstream, names and values alternating.
   writeDispatch (call: Call, dispatch: Dispatch): string[] {
     const { names } = this
     const headers = ['host', call.host, ...call.forwardedHeaders,
@@ -126,71 +132,71 @@
     return headers
   }
 
-  /// The headers of an answer that go to the caller.
+  /// Returns the response headers to forward to the caller, without hop-by-hop headers.
   filterResponseHeaders (head: ResponseHead): Record<string, string | string[]> {
-    const listed = listedIn(one(head.headers.connection))
-    const passed: Record<string, string | string[]> = {}
+    const connectionOptions = parseConnectionOptions(firstValue(head.headers.connection))
+    const forwarded: Record<string, string | string[]> = {}
     for (const [name, value] of Object.entries(head.headers)) {
-      if (value !== undefined && !hopByHop.includes(name) && !listed.has(name)) passed[name] = value
+      if (value !== undefined && !hopByHop.includes(name) && !connectionOptions.has(name)) forwarded[name] = value
     }
-    return passed
+    return forwarded
   }
 
-  /// The header that names the call in an answer of the system's own.
+  /// Returns the header that identifies the call in a response generated by the system.
   writeCallId (callId: string): Record<string, string> {
     return { [this.names.callId]: callId }
   }
 
-  private passed (head: RequestHead): string[] {
-    const listed = listedIn(one(head.headers.connection))
-    const passed: string[] = []
+  private filterRequestHeaders (head: RequestHead): string[] {
+    const connectionOptions = parseConnectionOptions(firstValue(head.headers.connection))
+    const forwarded: string[] = []
     for (let i = 0; i + 1 < head.rawHeaders.length; i += 2) {
       const name = head.rawHeaders[i]!.toLowerCase()
-      if (this.dropped.has(name) || listed.has(name)) continue
-      passed.push(head.rawHeaders[i]!, head.rawHeaders[i + 1]!)
+      if (this.droppedHeaders.has(name) || connectionOptions.has(name)) continue
+      forwarded.push(head.rawHeaders[i]!, head.rawHeaders[i + 1]!)
     }
-    return passed
+    return forwarded
   }
 
-  private readProgram (headers: RequestHead['headers']): ProgramRef | null {
+  private parseProgram (headers: RequestHead['headers']): ProgramRef | null {
     const { names } = this
-    const id = one(headers[names.programId])
+    const id = firstValue(headers[names.programId])
     if (id === null) return null
     return {
       id,
-      sessionId: one(headers[names.sessionId]) ?? id,
-      remainingMs: positive(one(headers[names.programRemainingMs])) ?? 0,
-      tokenBudget: count(one(headers[names.tokenBudget]))
+      sessionId: firstValue(headers[names.sessionId]) ?? id,
+      remainingMs: parsePositive(firstValue(headers[names.programRemainingMs])) ?? 0,
+      tokenBudget: parseCount(firstValue(headers[names.tokenBudget]))
     }
   }
 }
 
-function one (value: string | string[] | undefined): string | null {
+function firstValue (value: string | string[] | undefined): string | null {
   if (value === undefined) return null
   return Array.isArray(value) ? value[0] ?? null : value
 }
 
-function listedIn (connection: string | null): ReadonlySet<string> {
+function parseConnectionOptions (connection: string | null): ReadonlySet<string> {
   if (connection === null) return new Set()
   return new Set(connection.split(',').map(name => name.trim().toLowerCase()))
 }
 
-function positive (text: string | null): number | null {
+function parsePositive (text: string | null): number | null {
   if (text === null || !/^\d{1,12}(\.\d{1,9})?$/.test(text)) return null
   const value = Number(text)
   return value > 0 ? value : null
 }
 
-function count (text: string | null): number | null {
+function parseCount (text: string | null): number | null {
   return text !== null && /^\d{1,12}$/.test(text) ? Number(text) : null
 }
 
-function readUsage (text: string | null): TokenUsage | null {
+function parseUsage (text: string | null): TokenUsage | null {
   const match = /^(\d{1,9}),(\d{1,9})$/.exec(text ?? '')
   return match === null ? null : { promptTokens: Number(match[1]), maxOutputTokens: Number(match[2]) }
 }
 
-function readPrefix (text: string | null): PrefixPart[] {
+function parsePrefix (text: string | null): PrefixPart[] {
   if (text === null) return []
   const parts: PrefixPart[] = []
   for (const entry of text.split(',')) {
@@ -201,7 +207,7 @@
   return parts
 }
 
-function readLoad (text: string | null): UpstreamLoad | null {
+function parseLoad (text: string | null): UpstreamLoad | null {
   const match = /^(\d{1,6}),\s*(\d{1,6}),\s*(\d{1,6})$/.exec(text ?? '')
   return match === null ? null : { running: Number(match[1]), waiting: Number(match[2]), slots: Number(match[3]) }
 }
--- a/connection/header/src/native.ts
+++ b/connection/header/src/native.ts
@@ -1,6 +1,6 @@
 import { HeaderCodec } from './codec.js'
 
-/// The product's own dialect, listed in docs/API.md.
+/// The system's own header names, listed in docs/API.md.
 export const nativeHeaders = new HeaderCodec({
   callId: 'chicorynotch-call-id',
   callerTimeoutMs: 'chicorynotch-patience-ms',
