--- a/connection/upstream/src/client.ts
+++ b/connection/upstream/src/client.ts
@@ -1,8 +1,8 @@
-import { Pool, strictConnector } from './pool.js'
+import { Pool, createResetAwareConnector } from './pool.js'
 import type { Dispatcher } from './pool.js'
 import type { ResponseHead } from '#connection/header'
 
-/// A request as it goes to an instance.
+/// A request to an upstream instance.
 export interface UpstreamRequest {
   readonly method: string
   readonly path: string
@@ -11,7 +11,7 @@
   readonly body: Buffer
 }
 
-/// Receives one answer. After `onError` or `onEnd` nothing more comes.
+/// Receives one response. No method is called after `onEnd` or `onError`.
 export interface ResponseHandler {
   onHead (head: ResponseHead): void
   onData (chunk: Buffer): void
@@ -19,14 +19,15 @@
   onError (error: UpstreamError): void
 }
 
-/// A request under way. Aborting closes its connection at once.
+/// A request in flight. Aborting closes its connection immediately.
 export interface InFlightRequest {
   abort (): void
-  /// Whether any of the request may have left this process.
+  /// Whether any part of the request may have been sent.
   readonly isSent: boolean
 }
 
-/// An instance could not be reached, or its answer broke off.
+/// An instance could not be reached, or its response is incomplete. `mayHaveRun`
+/// is false if nothing of the request was sent.
 export class UpstreamError extends Error {
   override readonly name = 'UpstreamError'
 
@@ -37,19 +38,20 @@
 
 const connectTimeoutMs = 400
 const idleTimeoutMs = 4000
-// An instance's own idle timeout is met this much sooner, so that a request never crosses its close.
+// Subtracted from the idle timeout that an instance announces, so that no
+// request is sent on a connection that the instance is about to close.
 const idleMarginMs = 1000
 
-/// The connections to one instance, one request at a time on each.
+/// A pool of connections to one instance, each with one request at a time.
 export class InstanceClient {
   private readonly pool: Pool
-  private readonly line: Line = { isResetting: false }
+  private readonly resetState: ResetState = { isResetting: false }
 
   constructor (address: string, maxConnections: number) {
     this.pool = new Pool(`http://${address}`, {
       connections: maxConnections,
       pipelining: 1,
-      connect: strictConnector(connectTimeoutMs, () => this.noteReset()),
+      connect: createResetAwareConnector(connectTimeoutMs, () => this.recordReset()),
       headersTimeout: 0,
       bodyTimeout: 0,
       keepAliveTimeout: idleTimeoutMs,
@@ -57,42 +59,43 @@
     })
   }
 
-  send (request: UpstreamRequest, sink: ResponseHandler): InFlightRequest {
-    const exchange = new Exchange(sink, this.line)
+  send (request: UpstreamRequest, handler: ResponseHandler): InFlightRequest {
+    const dispatched = new DispatchedRequest(handler, this.resetState)
     this.pool.dispatch({
       method: request.method as Dispatcher.HttpMethod,
       path: request.path,
       headers: request.headers as string[],
       body: request.body.length > 0 ? request.body : null
-    }, exchange)
-    return exchange
+    }, dispatched)
+    return dispatched
   }
 
-  private noteReset (): void {
-    this.line.isResetting = true
-    // The library ends the answer within the same event.
-    process.nextTick(() => { this.line.isResetting = false })
+  private recordReset (): void {
+    this.resetState.isResetting = true
+    // undici reports the end of the response within the same event.
+    process.nextTick(() => { this.resetState.isResetting = false })
   }
 
   close (): void {
     this.pool.close().catch(() => {
-      // Closing twice rejects, and the pool is closed either way.
+      // Rejects if the pool is closed already, which needs no handling.
     })
   }
 }
 
-/// Set while the library is told of the end of a connection that was reset.
-interface Line {
+/// Shared by the requests of a client. `isResetting` is set while undici handles
+/// the end of a connection that was reset.
+interface ResetState {
   isResetting: boolean
 }
 
-class Exchange implements Dispatcher.DispatchHandler, InFlightRequest {
+class DispatchedRequest implements Dispatcher.DispatchHandler, InFlightRequest {
   isSent = false
   private controller: Dispatcher.DispatchController | null = null
   private isAborted = false
   private isDone = false
 
-  constructor (private readonly sink: ResponseHandler, private readonly line: Line) {}
+  constructor (private readonly handler: ResponseHandler, private readonly resetState: ResetState) {}
 
   abort (): void {
     this.isAborted = true
@@ -107,23 +110,23 @@
   }
 
   onResponseStart (_: Dispatcher.DispatchController, status: number, headers: ResponseHead['headers']): void {
-    if (status >= 200 && !this.isDone) this.sink.onHead({ status, headers })
+    if (status >= 200 && !this.isDone) this.handler.onHead({ status, headers })
   }
 
   onResponseData (_: Dispatcher.DispatchController, chunk: Buffer): void {
-    if (!this.isDone) this.sink.onData(chunk)
+    if (!this.isDone) this.handler.onData(chunk)
   }
 
   onResponseEnd (): void {
     if (this.isDone) return
     this.isDone = true
-    if (this.line.isResetting) this.sink.onError(new UpstreamError('the connection was reset', true))
-    else this.sink.onEnd()
+    if (this.resetState.isResetting) this.handler.onError(new UpstreamError('connection reset during response', true))
+    else this.handler.onEnd()
   }
 
   onResponseError (_: Dispatcher.DispatchController, error: Error): void {
     if (this.isDone) return
     this.isDone = true
-    this.sink.onError(new UpstreamError(error.message, this.isSent, { cause: error }))
+    this.handler.onError(new UpstreamError(error.message, this.isSent, { cause: error }))
   }
 }
--- a/connection/upstream/src/undici.d.ts
+++ b/connection/upstream/src/undici.d.ts
@@ -1,4 +1,4 @@
-/// Parts of undici that its index loads too; it declares no types for them.
+/// Internal modules of undici, which come without types.
 declare module 'undici/lib/api/api-request.js' {
   const request: unknown
   export = request
