--- a/connection/store/src/watch.ts
+++ b/connection/store/src/watch.ts
@@ -4,41 +4,42 @@
 import { HistoryGoneError } from './store.js'
 import type { ObjectStore, StoreChange, StoreListing, StoredObject } from './store.js'
 
-/// Receives what a kind of objects looks like, and each change of it.
+/// Receives the objects of a kind and their changes.
 export interface WatchHandler {
-  /// All objects. `wasInterrupted` says that the store was away before.
+  /// Receives all objects. `wasInterrupted` is true if the store was unavailable before.
   onListing (listing: StoreListing, wasInterrupted: boolean): void
   onChanges (changes: readonly StoreChange[]): void
 }
 
 export interface WatchOptions {
   readonly kind: string
-  /// How long one call waits at the store.
+  /// How long the store may wait for changes before it responds to a request.
   readonly waitMs: number
-  /// A pause before the next call, which then brings several changes at once.
+  /// Delay before the next request after a change, so that several changes arrive in one response.
   readonly pauseMs: number
 }
 
 const firstRetryMs = 150
 const maxRetryMs = 600
 
-/// Follows a kind of objects: lists it, then waits for changes. After a
-/// failure it lists again, so that nothing rests on a watch that was cut.
+/// Watches a kind of objects: lists them, then waits for changes. After a failure
+/// it lists them again, since an interrupted watch may have missed changes.
+/// Returns a function that stops the watch.
 export function watchObjects (
   store: ObjectStore,
   options: WatchOptions,
-  follower: WatchHandler,
+  handler: WatchHandler,
   log: EventLog
 ): () => void {
-  const stop = new AbortController()
-  run(store, options, follower, log, stop.signal).catch((error: unknown) => {
-    log.event(Events.unexpectedError, { where: `following ${options.kind}`, error: formatError(error) })
+  const abortController = new AbortController()
+  runWatch(store, options, handler, log, abortController.signal).catch((error: unknown) => {
+    log.event(Events.unexpectedError, { where: `watching ${options.kind}`, error: formatError(error) })
   })
-  return () => stop.abort()
+  return () => abortController.abort()
 }
 
-/// Follows one object of a kind. `onObject` gets it after each listing, null
-/// where it isn't there, and after each change but its end.
+/// Watches one object of a kind. `onObject` receives it after each listing, null
+/// if it is absent, and after each change; its deletion is not reported.
 export function watchObject (
   store: ObjectStore,
   options: WatchOptions,
@@ -54,10 +55,10 @@
   }, log)
 }
 
-async function run (
+async function runWatch (
   store: ObjectStore,
   options: WatchOptions,
-  follower: WatchHandler,
+  handler: WatchHandler,
   log: EventLog,
   signal: AbortSignal
 ): Promise<void> {
@@ -67,10 +68,10 @@
     try {
       const listing = await store.list(options.kind)
       if (wasInterrupted) log.event(Events.watchRestarted, { kind: options.kind, revision: listing.revision })
-      follower.onListing(listing, wasInterrupted)
+      handler.onListing(listing, wasInterrupted)
       wasInterrupted = false
       retryMs = firstRetryMs
-      await watch(store, options, follower, listing.revision, signal)
+      await watchFrom(store, options, handler, listing.revision, signal)
     } catch (error) {
       if (signal.aborted) return
       if (!(error instanceof HistoryGoneError)) wasInterrupted = true
@@ -81,19 +82,19 @@
   }
 }
 
-async function watch (
+async function watchFrom (
   store: ObjectStore,
   options: WatchOptions,
-  follower: WatchHandler,
-  from: number,
+  handler: WatchHandler,
+  fromRevision: number,
   signal: AbortSignal
 ): Promise<void> {
-  let revision = from
+  let revision = fromRevision
   while (!signal.aborted) {
-    const { changes, revision: next } = await store.waitForChanges(options.kind, revision, options.waitMs, signal)
-    revision = Math.max(revision, next)
+    const { changes, revision: latest } = await store.waitForChanges(options.kind, revision, options.waitMs, signal)
+    revision = Math.max(revision, latest)
     if (changes.length === 0) continue
-    follower.onChanges(changes)
+    handler.onChanges(changes)
     await sleep(options.pauseMs)
   }
 }
