--- a/connection/front/src/exchange.ts
+++ b/connection/front/src/exchange.ts
@@ -2,9 +2,9 @@
 import type { RequestHead } from '#connection/header'
 import { Refusal, RefusedError, Verdict } from '#request/call'
 
-/// One request of a caller and the answer to it.
+/// One request of a caller and the response to it.
 export class Exchange {
-  private isAnswered = false
+  private isStarted = false
 
   constructor (private readonly request: IncomingMessage, private readonly response: ServerResponse) {}
 
@@ -13,57 +13,59 @@
     return { method: method ?? 'GET', path: url ?? '/', headers, rawHeaders }
   }
 
-  /// Whether the head of an answer has gone out.
+  /// Whether the response headers have been sent or the exchange was aborted.
   get hasStarted (): boolean {
-    return this.isAnswered
+    return this.isStarted
   }
 
   get isFinished (): boolean {
     return this.response.writableEnded || this.response.destroyed
   }
 
-  /// Calls back when the caller has left before the answer was whole.
+  /// Calls `listener` if the caller disconnects before the response is complete.
   onDisconnect (listener: () => void): void {
     this.response.once('close', () => {
       if (!this.response.writableFinished) listener()
     })
   }
 
-  /// Rejects with `RefusedError` where the body is too large or breaks off.
+  /// Rejects with `RefusedError` if the body is too large or incomplete.
   readBody (maxBytes: number): Promise<Buffer> {
     const { request } = this
-    if (Number(request.headers['content-length'] ?? 0) > maxBytes) return Promise.reject(tooLarge(maxBytes))
+    if (Number(request.headers['content-length'] ?? 0) > maxBytes) return Promise.reject(bodyTooLargeError(maxBytes))
     return new Promise((resolve, reject) => {
       const chunks: Buffer[] = []
-      let bytes = 0
+      let receivedBytes = 0
       request.on('data', (chunk: Buffer) => {
-        bytes += chunk.length
-        if (bytes > maxBytes) reject(tooLarge(maxBytes))
+        receivedBytes += chunk.length
+        if (receivedBytes > maxBytes) reject(bodyTooLargeError(maxBytes))
         else chunks.push(chunk)
       })
-      const breakOff = (): void => reject(new RefusedError(Refusal.invalid, Verdict.notRun, 'the body broke off'))
-      request.once('error', breakOff)
-      request.once('close', breakOff)
+      const onIncomplete = (): void => reject(
+        new RefusedError(Refusal.invalid, Verdict.notRun, 'the request body is incomplete')
+      )
+      request.once('error', onIncomplete)
+      request.once('close', onIncomplete)
       request.once('end', () => {
-        request.off('close', breakOff)
+        request.off('close', onIncomplete)
         resolve(chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks))
       })
     })
   }
 
-  /// Sends a whole answer. `isLast` asks the caller to open a new connection next.
+  /// Sends a complete response. `isLast` asks the caller to use a new connection for its next request.
   respond (status: number, headers: ResponseHeaders, body: Buffer, isLast: boolean): void {
-    if (this.isAnswered || this.isFinished) return
-    this.isAnswered = true
-    this.response.writeHead(status, this.framed(headers, isLast, { 'content-length': String(body.length) }))
+    if (this.isStarted || this.isFinished) return
+    this.isStarted = true
+    this.response.writeHead(status, this.addFraming(headers, isLast, { 'content-length': String(body.length) }))
     this.response.end(body)
   }
 
-  /// Sends the head of an answer whose body follows in pieces.
+  /// Sends the headers of a response whose body follows in chunks.
   startResponse (status: number, headers: ResponseHeaders, isLast: boolean): void {
-    if (this.isAnswered || this.isFinished) return
-    this.isAnswered = true
-    this.response.writeHead(status, this.framed(headers, isLast, {}))
+    if (this.isStarted || this.isFinished) return
+    this.isStarted = true
+    this.response.writeHead(status, this.addFraming(headers, isLast, {}))
     this.response.flushHeaders()
   }
 
@@ -75,19 +77,19 @@
     if (!this.isFinished) this.response.end()
   }
 
-  /// Closes the connection, so that what was sent can't be taken for a whole answer.
+  /// Closes the connection, so that a partial response can't be taken for a complete one.
   abort (): void {
-    this.isAnswered = true
+    this.isStarted = true
     this.response.destroy()
   }
 
-  private framed (headers: ResponseHeaders, isLast: boolean, framing: Record<string, string>): ResponseHeaders {
+  private addFraming (headers: ResponseHeaders, isLast: boolean, framing: Record<string, string>): ResponseHeaders {
     return isLast ? { ...headers, ...framing, connection: 'close' } : { ...headers, ...framing }
   }
 }
 
 export type ResponseHeaders = Record<string, string | string[]>
 
-function tooLarge (maxBytes: number): RefusedError {
-  return new RefusedError(Refusal.bodyTooLarge, Verdict.notRun, `the body is larger than ${maxBytes} bytes`)
+function bodyTooLargeError (maxBytes: number): RefusedError {
+  return new RefusedError(Refusal.bodyTooLarge, Verdict.notRun, `the request body is larger than ${maxBytes} bytes`)
 }
--- a/connection/front/src/server.ts
+++ b/connection/front/src/server.ts
@@ -3,13 +3,13 @@
 import { Exchange } from './exchange.js'
 
 export interface FrontOptions {
-  /// Serves one exchange; must not reject.
+  /// Handles one exchange; must not reject.
   readonly serve: (exchange: Exchange) => Promise<void>
-  /// Told of requests that are no HTTP, with the parser's code.
+  /// Called with the parser's error code for a request that is not valid HTTP.
   readonly onMalformed: (code: string) => void
 }
 
-/// What a caller may take, as far as the HTTP stack enforces it.
+/// Limits on callers that the HTTP server enforces.
 export interface FrontLimits {
   readonly headerTimeoutMs: number
   readonly idleTimeoutMs: number
@@ -17,19 +17,19 @@
 
 const maxHeaderBytes = 16 * 1024
 
-/// The HTTP server for callers. Parsing is Node's own, in its strict mode; a
-/// request goes to the core as it is, past the framework's routes and parsers.
+/// The HTTP server for callers. Node parses requests in its strict mode; they
+/// reach `serve` unchanged, without the framework's routing and body parsing.
 export class FrontServer {
-  private readonly server: FastifyInstance
+  private readonly app: FastifyInstance
 
   constructor (options: FrontOptions) {
     const serve = (request: FastifyRequest, reply: FastifyReply, done: () => void): void => {
       reply.hijack()
       options.serve(new Exchange(request.raw, reply.raw)).finally(done)
     }
-    this.server = fastify({
+    this.app = fastify({
       logger: false,
-      // A path that the router can't decode is the core's business like any other.
+      // A request whose path the router can't decode is passed to `serve` like any other.
       frameworkErrors: (_, request, reply) => serve(request, reply, () => {}),
       forceCloseConnections: 'idle',
       http: { maxHeaderSize: maxHeaderBytes, insecureHTTPParser: false },
@@ -40,26 +40,26 @@
         socket.end(`HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n`)
       }
     })
-    this.server.addHook('onRequest', serve)
-    this.server.all('*', () => {})
+    this.app.addHook('onRequest', serve)
+    this.app.all('*', () => {})
   }
 
   /// Returns the address that was bound.
   async listen (address: string): Promise<string> {
     const [host, port] = splitAddress(address)
-    this.server.server.requestTimeout = 0
-    return await this.server.listen({ host, port, backlog: 1024 })
+    this.app.server.requestTimeout = 0
+    return await this.app.listen({ host, port, backlog: 1024 })
   }
 
   setLimits (limits: FrontLimits): void {
-    const { server } = this.server
+    const { server } = this.app
     server.headersTimeout = limits.headerTimeoutMs
     server.keepAliveTimeout = limits.idleTimeoutMs
   }
 
-  /// Takes no more connections and closes those that are idle.
+  /// Stops accepting connections and closes idle ones.
   async close (): Promise<void> {
-    await this.server.close()
+    await this.app.close()
   }
 }
 
--- a/connection/front/src/status.ts
+++ b/connection/front/src/status.ts
@@ -1,10 +1,10 @@
 import { fastify } from 'fastify'
 import { splitAddress } from './server.js'
 
-/// Serves short texts under fixed paths: readiness, metrics.
+/// Pages by path, such as readiness and metrics. Each is rendered on request.
 export type StatusPages = Readonly<Record<string, () => { readonly status: number, readonly text: string }>>
 
-/// Starts a server of status pages and returns how to close it.
+/// Starts a server for status pages. Returns a function that closes it.
 export async function serveStatus (address: string, pages: StatusPages): Promise<() => Promise<void>> {
   const server = fastify({ logger: false, forceCloseConnections: true })
   for (const [path, page] of Object.entries(pages)) {
