--- a/process/membership/src/codec.ts
+++ b/process/membership/src/codec.ts
@@ -1,21 +1,21 @@
 import type { Member, View } from '#connection/rpc'
 import { MemberState } from './view.js'
 
-/// A stored membership that can't be read.
+/// A stored view that is malformed.
 export class ViewFormatError extends Error {
   override readonly name = 'ViewFormatError'
 }
 
-const states: ReadonlySet<unknown> = new Set(Object.values(MemberState))
+const memberStates: ReadonlySet<unknown> = new Set(Object.values(MemberState))
 
-/// Reads a membership from the platform's store.
+/// Parses the spec of the view's object in the platform's store. Throws `ViewFormatError`.
 export function parseView (spec: unknown): View {
   const { version, members, leaveVersion } = (spec ?? {}) as Partial<Record<string, unknown>>
-  if (!isCount(version) || !isCount(leaveVersion) || !Array.isArray(members)) throw new ViewFormatError('not a membership')
-  return { version, leaveVersion, members: members.map(readMember) }
+  if (!isCount(version) || !isCount(leaveVersion) || !Array.isArray(members)) throw new ViewFormatError('invalid view: version, leaveVersion or members is malformed')
+  return { version, leaveVersion, members: members.map(parseMember) }
 }
 
-function readMember (value: unknown): Member {
+function parseMember (value: unknown): Member {
   const {
     name,
     diskId,
@@ -26,8 +26,8 @@
     syncedView
   } = (value ?? {}) as Partial<Record<string, unknown>>
   const texts = [name, diskId, address, zone]
-  if (!texts.every(text => typeof text === 'string') || !states.has(state) || !isCount(syncedView)) {
-    throw new ViewFormatError(`not a member: ${JSON.stringify(value)}`)
+  if (!texts.every(text => typeof text === 'string') || !memberStates.has(state) || !isCount(syncedView)) {
+    throw new ViewFormatError(`invalid member in the view: ${JSON.stringify(value)}`)
   }
   return { name, diskId, address, zone, state, syncedView, replacement: replacement === true } as Member
 }
--- a/process/membership/src/view.ts
+++ b/process/membership/src/view.ts
@@ -1,62 +1,62 @@
 import type { Member, View } from '#connection/rpc'
 
-/// How far a storage member takes part.
+/// The part that a storage instance takes in the quorums of a view.
 export const MemberState = {
-  /// Takes records, but does not yet hold all that the others hold.
+  /// Receives appends, but does not hold all committed records yet.
   joining: 'joining',
   serving: 'serving',
-  /// Is about to go: its records are read, and no longer relied on.
+  /// Being removed: its records are still read, but its appends no longer count towards a quorum.
   leaving: 'leaving'
 } as const
 
 export type MemberState = typeof MemberState[keyof typeof MemberState]
 
-/// The name of the membership's object in the platform's store.
+/// The name of the object in the platform's store that holds the current view.
 export const viewObjectName = 'current'
 
-/// The membership before any storage instance has registered.
+/// The view before any storage instance has registered.
 export const emptyView: View = { version: 0, members: [], leaveVersion: 0 }
 
-/// Whose answers count for what, under one view.
+/// The members whose replies count in one view, as disk IDs, and how many of them are needed.
 export interface Quorums {
-  /// Members whose synced append counts.
-  readonly writers: ReadonlySet<string>
-  /// Synced appends after which a record can't be lost.
-  readonly appends: number
-  /// Members whose "not known" counts.
-  readonly knowers: ReadonlySet<string>
-  /// "Not known" answers after which no counted record can have been missed.
-  readonly absences: number
-  /// Knowers that must tell of a program's account, so that two reservations have met.
-  readonly accounts: number
+  /// Members whose appends count.
+  readonly appendVoters: ReadonlySet<string>
+  /// Number of append voters that must have persisted a record for it to be committed.
+  readonly appendQuorum: number
+  /// Members whose accounts and replies that a turn is absent count.
+  readonly readVoters: ReadonlySet<string>
+  /// Number of read voters that must lack a turn to rule out that it was committed.
+  readonly absenceQuorum: number
+  /// Number of read voters that must report a program's account. Two such sets
+  /// overlap, so of two concurrent reservations at least one sees the other.
+  readonly accountQuorum: number
 }
 
-/// Works out the quorums for a number of disks that may be lost at the same
-/// time. An append counts once one more disk than that holds it; whoever
-/// answers for a certain absence must be so many that one of them would have
-/// held it.
+/// Computes the quorums for a number of disks that may be lost at the same time.
+/// A record is committed once one more disk than that holds it. The absence
+/// quorum is so large that it includes at least one of these disks.
 export function computeQuorums (view: View, toleratedLosses: number): Quorums {
-  const slots = view.members.filter(isSlot)
-  const writers = slots.filter(member => member.state !== MemberState.leaving)
-  const knowers = slots.filter(member => member.state !== MemberState.joining)
-  const appends = toleratedLosses + 1
+  const quorumMembers = view.members.filter(isQuorumMember)
+  const appendMembers = quorumMembers.filter(member => member.state !== MemberState.leaving)
+  const readMembers = quorumMembers.filter(member => member.state !== MemberState.joining)
+  const appendQuorum = toleratedLosses + 1
   return {
-    writers: diskIds(writers),
-    appends,
-    knowers: diskIds(knowers),
-    absences: Math.max(1, slots.length - toleratedLosses),
-    accounts: Math.max(appends, Math.floor(slots.length / 2) + 1)
+    appendVoters: diskIds(appendMembers),
+    appendQuorum,
+    readVoters: diskIds(readMembers),
+    absenceQuorum: Math.max(1, quorumMembers.length - toleratedLosses),
+    accountQuorum: Math.max(appendQuorum, Math.floor(quorumMembers.length / 2) + 1)
   }
 }
 
-/// How many other complete members a joining one must copy, so that it holds
-/// every counted record.
+/// Number of other members, none of them joining, whose records a joining member
+/// must copy so that it holds every committed record.
 export function requiredCopySources (view: View, toleratedLosses: number): number {
-  return Math.max(1, view.members.filter(isSlot).length - toleratedLosses)
+  return Math.max(1, view.members.filter(isQuorumMember).length - toleratedLosses)
 }
 
-/// A joining member stands in a quorum only in the place of a lost disk.
-function isSlot (member: Member): boolean {
+/// A joining member takes part in quorums only as the replacement of a lost disk.
+function isQuorumMember (member: Member): boolean {
   return member.state !== MemberState.joining || member.replacement
 }
 
@@ -64,68 +64,72 @@
   return new Set(members.map(member => member.diskId))
 }
 
-/// Adds a storage instance, or puts its new disk or address in the place of its old one.
+/// Adds a storage instance, or replaces its disk or address. A new disk starts
+/// as joining, except for a new member at the system's first start, which serves
+/// at once. Returns the view itself if nothing changes, as the functions below do.
 export function withMember (view: View, joined: Omit<Member, 'state' | 'replacement' | 'syncedView'>, isFirstStart: boolean): View {
-  const before = view.members.find(member => member.name === joined.name)
-  if (before !== undefined && before.diskId === joined.diskId) {
-    if (before.address === joined.address) return view
-    return replaceMember(view, { ...before, address: joined.address })
+  const existing = view.members.find(member => member.name === joined.name)
+  if (existing !== undefined && existing.diskId === joined.diskId) {
+    if (existing.address === joined.address) return view
+    return replaceMember(view, { ...existing, address: joined.address })
   }
-  const wasSlot = before !== undefined && isSlot(before)
-  const state = isFirstStart && before === undefined ? MemberState.serving : MemberState.joining
-  const member: Member = { ...joined, state, replacement: wasSlot, syncedView: 0 }
-  return { ...view, version: view.version + 1, members: [...view.members.filter(other => other !== before), member] }
+  const wasQuorumMember = existing !== undefined && isQuorumMember(existing)
+  const state = isFirstStart && existing === undefined ? MemberState.serving : MemberState.joining
+  const member: Member = { ...joined, state, replacement: wasQuorumMember, syncedView: 0 }
+  return { ...view, version: view.version + 1, members: [...view.members.filter(other => other !== existing), member] }
 }
 
-/// Marks a joining member as complete.
+/// Marks a joining member as serving, once it holds all committed records.
 export function withServing (view: View, diskId: string): View {
   const member = view.members.find(other => other.diskId === diskId)
   if (member === undefined || member.state !== MemberState.joining) return view
   return replaceMember(view, { ...member, state: MemberState.serving, replacement: false })
 }
 
-/// Marks a member as leaving.
+/// Marks a member as leaving. One that is joining and replaces no lost disk is removed at once.
 export function withLeaving (view: View, name: string): View {
   const member = view.members.find(other => other.name === name)
   if (member === undefined || member.state === MemberState.leaving) return view
-  if (member.state === MemberState.joining && !member.replacement) return without(view, name)
-  const next = replaceMember(view, { ...member, state: MemberState.leaving })
-  return { ...next, leaveVersion: next.version }
+  if (member.state === MemberState.joining && !member.replacement) return withoutMember(view, name)
+  const updated = replaceMember(view, { ...member, state: MemberState.leaving })
+  return { ...updated, leaveVersion: updated.version }
 }
 
-/// Notes that a member holds all that its peers held under `syncedView`, and
-/// drops the leaving members once every other one has said so.
+/// Records that a member holds all that its peers held under the view version
+/// `syncedView`. Removes the leaving members once every serving one has synced
+/// at or after `leaveVersion`.
 export function withSynced (view: View, diskId: string, syncedView: number): View {
   const member = view.members.find(other => other.diskId === diskId)
   if (member === undefined || member.syncedView >= syncedView) return view
-  const next = replaceMember(view, { ...member, syncedView })
-  const serving = next.members.filter(other => other.state === MemberState.serving)
-  const isReady = serving.every(other => other.syncedView >= next.leaveVersion)
-  if (!isReady) return next
-  const members = next.members.filter(other => other.state !== MemberState.leaving)
-  return { ...next, members }
+  const updated = replaceMember(view, { ...member, syncedView })
+  const servingMembers = updated.members.filter(other => other.state === MemberState.serving)
+  const canDropLeaving = servingMembers.every(other => other.syncedView >= updated.leaveVersion)
+  if (!canDropLeaving) return updated
+  const members = updated.members.filter(other => other.state !== MemberState.leaving)
+  return { ...updated, members }
 }
 
-/// Whether all but `name` would still hold the view's promises.
+/// Whether enough serving members for an append quorum remain without `name`.
 export function canLeave (view: View, name: string, toleratedLosses: number): boolean {
-  const rest = view.members.filter(member => member.state === MemberState.serving && member.name !== name)
-  return rest.length >= toleratedLosses + 1
+  const remaining = view.members.filter(member => member.state === MemberState.serving && member.name !== name)
+  return remaining.length >= toleratedLosses + 1
 }
 
-/// Whether the present members without one are as many as a system at its full strength needs.
+/// Whether the serving members that are present, not counting `diskId`, are as
+/// many as a system of full size has.
 export function canEvict (
   view: View,
   diskId: string,
-  present: ReadonlySet<string>,
+  presentDiskIds: ReadonlySet<string>,
   toleratedLosses: number
 ): boolean {
-  const rest = view.members.filter(member => {
-    return member.state === MemberState.serving && member.diskId !== diskId && present.has(member.diskId)
+  const remaining = view.members.filter(member => {
+    return member.state === MemberState.serving && member.diskId !== diskId && presentDiskIds.has(member.diskId)
   })
-  return rest.length >= 2 * toleratedLosses + 1
+  return remaining.length >= 2 * toleratedLosses + 1
 }
 
-function without (view: View, name: string): View {
+function withoutMember (view: View, name: string): View {
   return { ...view, version: view.version + 1, members: view.members.filter(member => member.name !== name) }
 }
 
--- a/process/membership/test/view.test.ts
+++ b/process/membership/test/view.test.ts
@@ -2,35 +2,35 @@
 import type { Member, View } from '#connection/rpc'
 import {
   MemberState, requiredCopySources, emptyView, canEvict, computeQuorums, parseView, withServing, withLeaving,
-  withMember,
-  withSynced
+  withMember, withSynced
 } from '#process/membership'
 
-function join (view: View, name: string, disk = name, isFirstStart = true): View {
+function joinMember (view: View, name: string, disk = name, isFirstStart = true): View {
   return withMember(view, { name, diskId: disk, address: `${name}:1`, zone: 'z' }, isFirstStart)
 }
 
-function members (...names: string[]): View {
-  return names.reduce((view, name) => join(view, name), emptyView)
+function createView (...names: string[]): View {
+  return names.reduce((view, name) => joinMember(view, name), emptyView)
 }
 
-function stateOf (view: View, name: string): Member | undefined {
+function findMember (view: View, name: string): Member | undefined {
   return view.members.find(member => member.name === name)
 }
 
 describe('quorums', () => {
-  const wiped = join(members('a', 'b', 'c'), 'a', 'a2', false)
-  const added = join(members('a', 'b', 'c'), 'd', 'd', false)
-  const leaving = withLeaving(join(members('a', 'b', 'c'), 'd'), 'a')
+  const replaced = joinMember(createView('a', 'b', 'c'), 'a', 'a2', false)
+  const added = joinMember(createView('a', 'b', 'c'), 'd', 'd', false)
+  const leaving = withLeaving(joinMember(createView('a', 'b', 'c'), 'd'), 'a')
   test.each([
-    ['three complete', members('a', 'b', 'c'), 1, { writers: 3, appends: 2, knowers: 3, absences: 2, accounts: 2 }],
-    ['one disk lost: its place counts for appends only', wiped, 1, { writers: 3, appends: 2, knowers: 2, absences: 2, accounts: 2 }],
-    ['one joining beside three: it counts for nothing', added, 1, { writers: 3, appends: 2, knowers: 3, absences: 2, accounts: 2 }],
-    ['one of four leaving: it is read, not relied on', leaving, 1, { writers: 3, appends: 2, knowers: 4, absences: 3, accounts: 3 }],
-    ['nine, two losses', members(...'abcdefghi'), 2, { writers: 9, appends: 3, knowers: 9, absences: 7, accounts: 5 }]
+    ['three serving members', createView('a', 'b', 'c'), 1, { appendVoters: 3, appendQuorum: 2, readVoters: 3, absenceQuorum: 2, accountQuorum: 2 }],
+    ['a replaced disk counts for appends only', replaced, 1, { appendVoters: 3, appendQuorum: 2, readVoters: 2, absenceQuorum: 2, accountQuorum: 2 }],
+    ['a joining fourth member does not count', added, 1, { appendVoters: 3, appendQuorum: 2, readVoters: 3, absenceQuorum: 2, accountQuorum: 2 }],
+    ['a leaving member of four counts for reads only', leaving, 1, { appendVoters: 3, appendQuorum: 2, readVoters: 4, absenceQuorum: 3, accountQuorum: 3 }],
+    ['nine serving members, two tolerated losses', createView(...'abcdefghi'), 2, { appendVoters: 9, appendQuorum: 3, readVoters: 9, absenceQuorum: 7, accountQuorum: 5 }]
   ])('%s', (_, view, losses, expected) => {
-    const rule = computeQuorums(view, losses)
-    expect({ ...rule, writers: rule.writers.size, knowers: rule.knowers.size }).toEqual(expected)
+    const quorums = computeQuorums(view, losses)
+    expect({ ...quorums, appendVoters: quorums.appendVoters.size, readVoters: quorums.readVoters.size })
+      .toEqual(expected)
   })
 
   test.each([
@@ -45,53 +45,53 @@
     9,
     12
   ].flatMap(size => [0, 1, 2, 3].filter(losses => size > losses).map(losses => [size, losses])))(
-    '%i members with %i losses: an absence meets every append, two accounts meet', (size, losses) => {
-      const rule = computeQuorums(members(...Array.from({ length: size! }, (_, i) => `m${i}`)), losses!)
-      expect(rule.absences + rule.appends).toBeGreaterThan(size!)
-      expect(2 * rule.accounts).toBeGreaterThan(size!)
+    '%i members, %i tolerated losses: absence and append quorums overlap, and so do two account quorums', (size, losses) => {
+      const quorums = computeQuorums(createView(...Array.from({ length: size! }, (_, i) => `m${i}`)), losses!)
+      expect(quorums.absenceQuorum + quorums.appendQuorum).toBeGreaterThan(size!)
+      expect(2 * quorums.accountQuorum).toBeGreaterThan(size!)
     })
 })
 
-describe('changes of the view', () => {
-  test('at the first start all serve at once; a disk that is new later has to copy', () => {
-    expect(members('a', 'b').members.map(member => member.state)).toEqual(['serving', 'serving'])
-    expect(stateOf(join(members('a', 'b'), 'a', 'a2', true), 'a')).toMatchObject({ state: 'joining', replacement: true })
-    expect(stateOf(join(members('a', 'b'), 'c', 'c', false), 'c')).toMatchObject({ state: 'joining', replacement: false })
+describe('view changes', () => {
+  test('at the first start new members serve at once, later a new disk joins', () => {
+    expect(createView('a', 'b').members.map(member => member.state)).toEqual(['serving', 'serving'])
+    expect(findMember(joinMember(createView('a', 'b'), 'a', 'a2', true), 'a')).toMatchObject({ state: 'joining', replacement: true })
+    expect(findMember(joinMember(createView('a', 'b'), 'c', 'c', false), 'c')).toMatchObject({ state: 'joining', replacement: false })
   })
 
-  test('a restart with the same disk changes nothing, another address only that', () => {
-    const view = members('a', 'b')
-    expect(join(view, 'a')).toBe(view)
+  test('a restart with the same disk changes at most the address', () => {
+    const view = createView('a', 'b')
+    expect(joinMember(view, 'a')).toBe(view)
     const moved = withMember(view, { name: 'a', diskId: 'a', address: 'elsewhere:1', zone: 'z' }, false)
-    expect(stateOf(moved, 'a')).toMatchObject({ address: 'elsewhere:1', state: 'serving' })
+    expect(findMember(moved, 'a')).toMatchObject({ address: 'elsewhere:1', state: 'serving' })
   })
 
-  test('a joining member that is complete serves; how many it must copy', () => {
-    const wiped = join(members('a', 'b', 'c'), 'a', 'a2', false)
-    expect(requiredCopySources(wiped, 1)).toBe(2)
-    expect(requiredCopySources(join(members('a', 'b', 'c'), 'd', 'd', false), 1)).toBe(2)
-    expect(stateOf(withServing(wiped, 'a2'), 'a')).toMatchObject({ state: MemberState.serving, replacement: false })
+  test('a joining member must copy from two others, and serves once it is complete', () => {
+    const replaced = joinMember(createView('a', 'b', 'c'), 'a', 'a2', false)
+    expect(requiredCopySources(replaced, 1)).toBe(2)
+    expect(requiredCopySources(joinMember(createView('a', 'b', 'c'), 'd', 'd', false), 1)).toBe(2)
+    expect(findMember(withServing(replaced, 'a2'), 'a')).toMatchObject({ state: MemberState.serving, replacement: false })
   })
 
-  test('a leaving member goes once every other one has said that it holds all', () => {
-    const leaving = withLeaving(members('a', 'b', 'c'), 'a')
+  test('a leaving member is removed once every other one has synced', () => {
+    const leaving = withLeaving(createView('a', 'b', 'c'), 'a')
     const one = withSynced(leaving, 'b', leaving.leaveVersion)
     expect(one.members.map(member => member.name)).toEqual(['a', 'b', 'c'])
     const both = withSynced(one, 'c', leaving.leaveVersion)
     expect(both.members.map(member => member.name)).toEqual(['b', 'c'])
   })
 
-  test('a member gives way only while enough others are present', () => {
-    const view = members('a', 'b', 'c', 'd')
+  test('a member can be evicted only while enough others are present', () => {
+    const view = createView('a', 'b', 'c', 'd')
     expect(canEvict(view, 'a', new Set(['b', 'c', 'd']), 1)).toBe(true)
     expect(canEvict(view, 'a', new Set(['b', 'c']), 1)).toBe(false)
-    expect(canEvict(members('a', 'b', 'c'), 'a', new Set(['b', 'c']), 1)).toBe(false)
+    expect(canEvict(createView('a', 'b', 'c'), 'a', new Set(['b', 'c']), 1)).toBe(false)
   })
 
-  test('every change has a higher version, and survives the store', () => {
-    const view = withLeaving(members('a', 'b', 'c'), 'a')
+  test('each change raises the version, and a stored view parses to the same view', () => {
+    const view = withLeaving(createView('a', 'b', 'c'), 'a')
     expect(view.version).toBe(4)
     expect(parseView(JSON.parse(JSON.stringify(view)))).toEqual(view)
-    expect(() => parseView({ version: 1, leaveVersion: 0, members: [{ name: 'a' }] })).toThrow('not a member')
+    expect(() => parseView({ version: 1, leaveVersion: 0, members: [{ name: 'a' }] })).toThrow('invalid member in the view')
   })
 })
--- a/process/quorum/src/quorum.ts
+++ b/process/quorum/src/quorum.ts
@@ -7,39 +7,43 @@
 import { emptyView, computeQuorums } from '#process/membership'
 import type { Quorums } from '#process/membership'
 
-/// The storage instances could not be asked, or too few of them answered.
+/// Too few storage instances are reachable, or too few of them replied in time.
 export class QuorumError extends Error {
   override readonly name = 'QuorumError'
 }
 
 export interface QuorumOptions {
+  /// The zone of this process; members in it are queried first.
   readonly zone: string
+  /// Number of disks that may be lost at the same time without losing a committed record.
   readonly toleratedLosses: number
   readonly connect: (address: string) => LedgerPeer
-  /// Called where an answer shows that the view may be out of date.
+  /// Called when the view may be out of date, so that the caller reads it from the platform's store again.
   readonly onStaleView: () => void
 }
 
-const callTimeoutMs = 400
-const retryPauseMs = 40
-/// After this long without the nearest member's answer the others are asked too.
-const hedgeAfterMs = 40
-/// How often members that are down are asked whether they are back.
-const probeEveryMs = 200
+const attemptTimeoutMs = 400
+const retryDelayMs = 40
+/// Time after which a chain query that the nearest member has not answered is sent to the others as well.
+const hedgeDelayMs = 40
+/// Interval at which members that are down are probed.
+const probeIntervalMs = 200
 
 interface PeerState {
   member: Member
   readonly peer: LedgerPeer
-  /// Its last answer failed; the next one that comes clears it.
+  /// Set when the member is found unresponsive, cleared by its next reply. A slow member isn't down.
   isDown: boolean
 }
 
-/// The storage instances as one: a record counts, and is absent, by quorum.
+/// Client of the replicated ledger. Appends and reads records on the storage
+/// instances of the current view, and decides by quorum whether a record is
+/// committed or absent. Methods reject with `QuorumError`.
 export class LedgerQuorum {
   private view: View = emptyView
-  private rule: Quorums = computeQuorums(emptyView, 0)
+  private quorums: Quorums = computeQuorums(emptyView, 0)
   private peers: PeerState[] = []
-  private prober: ReturnType<typeof setInterval> | null = null
+  private probeTimer: ReturnType<typeof setInterval> | null = null
 
   constructor (private readonly options: QuorumOptions, private readonly log: EventLog) {}
 
@@ -47,54 +51,57 @@
     return this.view.version
   }
 
+  /// Switches to `view` if it is newer than the current one. Connections to
+  /// members whose disk and address are unchanged stay open. `source` is logged.
   adoptView (view: View, source: string): void {
     if (view.version <= this.view.version) return
     this.view = view
-    this.rule = computeQuorums(view, this.options.toleratedLosses)
-    const before = this.peers
+    this.quorums = computeQuorums(view, this.options.toleratedLosses)
+    const previousPeers = this.peers
     this.peers = view.members.map(member => {
-      const known = before.find(state => isSameDisk(state.member, member))
-      if (known !== undefined) return Object.assign(known, { member })
+      const existing = previousPeers.find(state => isSamePeer(state.member, member))
+      if (existing !== undefined) return Object.assign(existing, { member })
       return { member, peer: this.options.connect(member.address), isDown: false }
     })
-    for (const old of before) if (!this.peers.some(state => state.peer === old.peer)) old.peer.close()
+    for (const old of previousPeers) if (!this.peers.some(state => state.peer === old.peer)) old.peer.close()
     this.log.event(Events.viewAdopted, { version: view.version, source, members: view.members.length })
     if (!this.isAvailable) this.startProbing()
   }
 
-  /// Whether so many members seem to be up that appends can count. While they
-  /// aren't, requests fail at once instead of waiting for the time to run out.
+  /// Whether enough members seem to be up to commit an append. While it is
+  /// false, reservations and reads fail at once instead of waiting for their timeout.
   get isAvailable (): boolean {
-    const up = this.peers.filter(state => !state.isDown && this.rule.writers.has(state.member.diskId))
-    return up.length >= this.rule.appends
+    const up = this.peers.filter(state => !state.isDown && this.quorums.appendVoters.has(state.member.diskId))
+    return up.length >= this.quorums.appendQuorum
   }
 
-  /// Appends records; resolves once they can't be lost. Tries for the whole
-  /// time, also while the storage instances seem to be out of reach.
+  /// Appends records and resolves once they are committed. Retries until the
+  /// timeout, even while too few storage instances seem to be up.
   async append (records: readonly LedgerRecord[], timeoutMs: number): Promise<void> {
-    await this.collect(records, '', timeoutMs, replies => countIn(replies.keys(), this.rule.writers) >= this.rule.appends)
+    await this.collect(records, '', timeoutMs, replies =>
+      countVoters(replies.keys(), this.quorums.appendVoters) >= this.quorums.appendQuorum)
   }
 
-  /// Appends a reservation and resolves to the program's whole account.
+  /// Appends a reservation and resolves, once it is committed, to the program's complete account.
   async reserve (reservation: LedgerRecord, timeoutMs: number): Promise<AccountEntry[]> {
-    return await this.accountAfter([reservation], reservation.programId, timeoutMs, this.rule.appends)
+    return await this.appendAndReadAccount([reservation], reservation.programId, timeoutMs, this.quorums.appendQuorum)
   }
 
-  /// A program's whole account: all that was reserved and settled before the call.
+  /// Resolves to a program's complete account: all that was reserved and settled before the request.
   async readAccount (programId: string, timeoutMs: number): Promise<AccountEntry[]> {
-    return await this.accountAfter([], programId, timeoutMs, 0)
+    return await this.appendAndReadAccount([], programId, timeoutMs, 0)
   }
 
-  private async accountAfter (
+  private async appendAndReadAccount (
     records: readonly LedgerRecord[],
     programId: string,
     timeoutMs: number,
-    appends: number
+    requiredAppends: number
   ): Promise<AccountEntry[]> {
-    this.refuseIfUnreachable()
+    this.assertAvailable()
     const replies = await this.collect(records, programId, timeoutMs, replies => {
-      return countIn(replies.keys(), this.rule.writers) >= appends &&
-        countIn(replies.keys(), this.rule.knowers) >= this.rule.accounts
+      return countVoters(replies.keys(), this.quorums.appendVoters) >= requiredAppends &&
+        countVoters(replies.keys(), this.quorums.readVoters) >= this.quorums.accountQuorum
     })
     const account = new Map<string, AccountEntry>()
     for (const reply of replies.values()) {
@@ -103,107 +110,124 @@
     return [...account.values()]
   }
 
-  /// A turn's whole chain, oldest first; null where it certainly isn't kept.
+  /// Resolves to a turn's complete chain, oldest first, or to null once a quorum
+  /// rules out that the turn was committed. Queries the nearest member first,
+  /// and all of them if it does not settle the question within `hedgeDelayMs`.
   async findChain (turnId: string, timeoutMs: number): Promise<LedgerRecord[] | null> {
-    const ordered = this.byDistance()
-    this.refuseIfUnreachable()
+    const candidates = this.peersByPreference()
+    this.assertAvailable()
     const absent = new Set<string>()
     const deadlineMs = performance.now() + timeoutMs
     let chain: LedgerRecord[] | null = null
-    const ask = async (state: PeerState): Promise<void> => {
-      const question = { viewVersion: this.view.version, turnId }
-      const reply = await this.ask(state, (peer, callMs) => peer.findChain(question, callMs), deadlineMs, true)
+    const query = async (state: PeerState): Promise<void> => {
+      const request = { viewVersion: this.view.version, turnId }
+      const reply = await this.sendWithRetry(
+        state, (peer, limitMs) => peer.findChain(request, limitMs), deadlineMs, true
+      )
       if (reply === null || chain !== null) return
       if (reply.chain.length > 0 && !reply.incomplete) chain = reply.chain
       else if (reply.chain.length === 0) absent.add(reply.standing!.diskId)
     }
-    const isDone = (): boolean => chain !== null || countIn(absent, this.rule.knowers) >= this.rule.absences
-    const nearest = ask(ordered[0]!)
-    await Promise.race([nearest, sleep(hedgeAfterMs)])
-    if (!isDone()) await this.askAll(state => state === ordered[0] ? nearest : ask(state), isDone, deadlineMs)
+    const isDone = (): boolean =>
+      chain !== null || countVoters(absent, this.quorums.readVoters) >= this.quorums.absenceQuorum
+    const nearest = query(candidates[0]!)
+    await Promise.race([nearest, sleep(hedgeDelayMs)])
+    if (!isDone()) await this.sendToAll(state => state === candidates[0] ? nearest : query(state), isDone, deadlineMs)
     if (chain !== null) return chain
-    if (countIn(absent, this.rule.knowers) >= this.rule.absences) return null
+    if (countVoters(absent, this.quorums.readVoters) >= this.quorums.absenceQuorum) return null
     this.log.event(Events.quorumMissed, { of: 'chain', turnId, absent: absent.size, viewVersion: this.view.version })
-    throw new QuorumError(`${absent.size} of ${this.rule.absences} storage instances answered`)
+    throw new QuorumError(`turn not found, absent on only ${absent.size} of ${this.quorums.absenceQuorum} required storage instances`)
   }
 
   close (): void {
-    if (this.prober !== null) clearInterval(this.prober)
+    if (this.probeTimer !== null) clearInterval(this.probeTimer)
     for (const { peer } of this.peers) peer.close()
   }
 
-  /// Sends an append to all members, again to those that fail, until enough
-  /// have answered. Those that are slow go on in the background.
+  /// Sends an append to all members, with retries, and resolves once the replies
+  /// form a quorum. Requests to slower members go on in the background.
   private async collect (
     records: readonly LedgerRecord[],
     accountOf: string,
     timeoutMs: number,
-    isEnough: (replies: ReadonlyMap<string, AppendReply>) => boolean
+    hasQuorum: (replies: ReadonlyMap<string, AppendReply>) => boolean
   ): Promise<ReadonlyMap<string, AppendReply>> {
     const deadlineMs = performance.now() + timeoutMs
     const replies = new Map<string, AppendReply>()
     const request = { viewVersion: this.view.version, records: [...records], accountOf }
     const send = async (state: PeerState): Promise<void> => {
-      const reply = await this.ask(state, (peer, callMs) => peer.append(request, callMs), deadlineMs, accountOf !== '')
+      const reply = await this.sendWithRetry(
+        state, (peer, limitMs) => peer.append(request, limitMs), deadlineMs, accountOf !== ''
+      )
       if (reply !== null) replies.set(reply.standing!.diskId, reply)
     }
-    await this.askAll(send, () => isEnough(replies), deadlineMs)
-    if (isEnough(replies)) return replies
-    this.log.event(Events.quorumMissed, { of: 'append', ids: records.map(record => record.id), answered: replies.size, viewVersion: this.view.version })
-    throw new QuorumError(`${replies.size} storage instances answered in time`)
+    await this.sendToAll(send, () => hasQuorum(replies), deadlineMs)
+    if (hasQuorum(replies)) return replies
+    this.log.event(Events.quorumMissed, {
+      of: 'append',
+      ids: records.map(record => record.id),
+      answered: replies.size,
+      viewVersion: this.view.version
+    })
+    throw new QuorumError(`append quorum missed: ${replies.size} storage instances replied in time`)
   }
 
-  /// Asks every member, also one that an answer's newer view brings. Resolves
-  /// when enough have answered, all have ended, or the time is up.
-  private askAll (ask: (state: PeerState) => Promise<void>, isDone: () => boolean, deadlineMs: number): Promise<void> {
+  /// Calls `send` for every member, including those that a newer view in a reply
+  /// adds. Resolves when `isDone` holds, all have finished, or at the deadline.
+  private sendToAll (
+    send: (state: PeerState) => Promise<void>,
+    isDone: () => boolean,
+    deadlineMs: number
+  ): Promise<void> {
     return new Promise(resolve => {
-      const asked = new Set<PeerState>()
+      const contacted = new Set<PeerState>()
       const timer = setTimeout(resolve, Math.max(0, deadlineMs - performance.now()))
-      let open = 0
-      const askNew = (): void => {
+      let inFlight = 0
+      const sendToNew = (): void => {
         for (const state of this.peers) {
-          if (asked.has(state)) continue
-          asked.add(state)
-          open++
-          ask(state).then(settle, settle)
+          if (contacted.has(state)) continue
+          contacted.add(state)
+          inFlight++
+          send(state).then(onSettled, onSettled)
         }
       }
-      const settle = (): void => {
-        open--
-        if (!isDone()) askNew()
-        if (!isDone() && open > 0) return
+      const onSettled = (): void => {
+        inFlight--
+        if (!isDone()) sendToNew()
+        if (!isDone() && inFlight > 0) return
         clearTimeout(timer)
         resolve()
       }
-      askNew()
-      if (open === 0) settle()
+      sendToNew()
+      if (inFlight === 0) onSettled()
     })
   }
 
-  /// Asks one member until it answers or the time is up; null in that case, or
-  /// where it may give up since too few members are up.
-  private async ask<Reply extends { standing?: Standing | undefined }> (
+  /// Sends a request to one member and retries it until a reply comes. Resolves
+  /// to null at the deadline, or with `failsFast` as soon as the member is down
+  /// and too few members are up.
+  private async sendWithRetry<Reply extends { standing?: Standing | undefined }> (
     state: PeerState,
-    call: (peer: LedgerPeer, timeoutMs: number) => Promise<Reply>,
+    send: (peer: LedgerPeer, timeoutMs: number) => Promise<Reply>,
     deadlineMs: number,
-    givesUp: boolean
+    failsFast: boolean
   ): Promise<Reply | null> {
     while (true) {
-      const leftMs = deadlineMs - performance.now()
-      if (leftMs <= 1 || (givesUp && state.isDown && !this.isAvailable)) return null
+      const remainingMs = deadlineMs - performance.now()
+      if (remainingMs <= 1 || (failsFast && state.isDown && !this.isAvailable)) return null
       try {
-        const reply = await call(state.peer, Math.min(leftMs, callTimeoutMs))
-        this.heed(state, reply.standing!)
+        const reply = await send(state.peer, Math.min(remainingMs, attemptTimeoutMs))
+        this.handleStanding(state, reply.standing!)
         return reply
       } catch (error) {
-        this.noteFailure(state, error)
+        this.recordFailure(state, error)
       }
-      await sleep(retryPauseMs)
+      await sleep(retryDelayMs)
     }
   }
 
-  /// Takes over a newer view that an answer brings, and asks for one where the disk isn't the expected one.
-  private heed (state: PeerState, standing: Standing): void {
+  /// Marks the member as up, adopts a newer view from its reply, and reports a stale view if another disk replied.
+  private handleStanding (state: PeerState, standing: Standing): void {
     if (state.isDown) {
       state.isDown = false
       this.log.event(Events.memberRegained, { member: state.member.name })
@@ -212,7 +236,7 @@
     if (standing.diskId !== state.member.diskId) this.options.onStaleView()
   }
 
-  private noteFailure (state: PeerState, error: unknown): void {
+  private recordFailure (state: PeerState, error: unknown): void {
     if (error instanceof PeerError && !error.isSilent) return
     if (!state.isDown) this.log.event(Events.memberLost, { member: state.member.name, error: formatError(error) })
     state.isDown = true
@@ -221,47 +245,49 @@
   }
 
   private startProbing (): void {
-    this.prober ??= setInterval(() => this.probe(), probeEveryMs)
+    this.probeTimer ??= setInterval(() => this.probe(), probeIntervalMs)
   }
 
-  /// Asks members that are down whether they are back, and for a newer view
-  /// while this one has too few members that are up.
+  /// Probes members that are down, and reports a stale view while too few
+  /// members are up. Stops the timer once all are up.
   private probe (): void {
     const down = this.peers.filter(state => state.isDown)
     if (!this.isAvailable) this.options.onStaleView()
-    else if (down.length === 0 && this.prober !== null) {
-      clearInterval(this.prober)
-      this.prober = null
+    else if (down.length === 0 && this.probeTimer !== null) {
+      clearInterval(this.probeTimer)
+      this.probeTimer = null
     }
-    const question = { viewVersion: this.view.version, cursor: 0, limit: 0, epoch: '' }
+    const request = { viewVersion: this.view.version, cursor: 0, limit: 0, epoch: '' }
     for (const state of down) {
-      state.peer.digest(question, callTimeoutMs).then(reply => this.heed(state, reply.standing!), () => {
-        // Still down, as the log says already.
+      state.peer.digest(request, attemptTimeoutMs).then(reply => this.handleStanding(state, reply.standing!), () => {
+        // The member stays down, which has been logged.
       })
     }
   }
 
-  private refuseIfUnreachable (): void {
-    // A view with too few members, none of them down, is an old one: an answer brings the newer one.
-    const isOld = this.peers.length > 0 && !this.peers.some(state => state.isDown)
-    if (!this.isAvailable && !isOld) throw new QuorumError('too few storage instances are up')
+  private assertAvailable (): void {
+    // A view with too few members, none of them down, is out of date: a reply will carry the newer one.
+    const isStale = this.peers.length > 0 && !this.peers.some(state => state.isDown)
+    if (!this.isAvailable && !isStale) throw new QuorumError('too few storage instances are up to commit an append')
   }
 
-  private byDistance (): PeerState[] {
+  /// Members in the order in which to query them: those that are up first, among
+  /// these the ones that aren't joining, then the ones in this process's zone.
+  private peersByPreference (): PeerState[] {
     const rank = (state: PeerState): number => {
-      const isNew = !this.rule.knowers.has(state.member.diskId)
-      return (state.isDown ? 4 : 0) + (isNew ? 2 : 0) + (state.member.zone === this.options.zone ? 0 : 1)
+      const isJoining = !this.quorums.readVoters.has(state.member.diskId)
+      return (state.isDown ? 4 : 0) + (isJoining ? 2 : 0) + (state.member.zone === this.options.zone ? 0 : 1)
     }
     return [...this.peers].sort((a, b) => rank(a) - rank(b))
   }
 }
 
-function countIn (diskIds: Iterable<string>, counting: ReadonlySet<string>): number {
+function countVoters (diskIds: Iterable<string>, voters: ReadonlySet<string>): number {
   let count = 0
-  for (const diskId of diskIds) if (counting.has(diskId)) count++
+  for (const diskId of diskIds) if (voters.has(diskId)) count++
   return count
 }
 
-function isSameDisk (a: Member, b: Member): boolean {
+function isSamePeer (a: Member, b: Member): boolean {
   return a.diskId === b.diskId && a.address === b.address
 }
--- a/process/quorum/test/quorum.test.ts
+++ b/process/quorum/test/quorum.test.ts
@@ -35,37 +35,37 @@
   for (const folder of folders.splice(0)) await rm(folder, { recursive: true })
 })
 
-function record (kind: number, id: string, fields: Partial<LedgerRecord> = {}): LedgerRecord {
+function createRecord (kind: number, id: string, fields: Partial<LedgerRecord> = {}): LedgerRecord {
   return { kind, id, programId: 'p', tokens: 10, previousId: '', input: Buffer.from('in'), output: Buffer.from('out'), recordedAtMs: Date.now(), retentionMs: 60_000, instanceId: '', ...fields }
 }
 
-test('a reservation is answered with the account by all that count', async () => {
-  const account = await quorum.reserve(record(RecordKind.reservation, 'r1'), 900)
+test('a reservation resolves to the account of its program', async () => {
+  const account = await quorum.reserve(createRecord(RecordKind.reservation, 'r1'), 900)
   expect(account).toEqual([{ id: 'r1', reserved: 10, spent: 0, settled: false }])
 })
 
-test('a kept turn is found, an unknown one certainly is not there', async () => {
-  await quorum.append([record(RecordKind.turn, 't1')], 900)
+test('a committed turn is found, a turn that was never appended is ruled out', async () => {
+  await quorum.append([createRecord(RecordKind.turn, 't1')], 900)
   expect((await quorum.findChain('t1', 900))?.map(turn => turn.id)).toEqual(['t1'])
   expect(await quorum.findChain('t2', 900)).toBeNull()
 })
 
-test('with one storage instance gone all goes on', async () => {
+test('with one of three storage instances down, turns are committed, found and ruled out', async () => {
   servers[0]!.close()
-  await quorum.append([record(RecordKind.turn, 't1')], 900)
+  await quorum.append([createRecord(RecordKind.turn, 't1')], 900)
   expect((await quorum.findChain('t1', 900))?.map(turn => turn.id)).toEqual(['t1'])
   expect(await quorum.findChain('t2', 900)).toBeNull()
 })
 
-test('with two gone nothing counts, and nothing is said to be absent', async () => {
-  await quorum.append([record(RecordKind.turn, 't1')], 900)
+test('with two of three storage instances down, appends fail and no turn is ruled out', async () => {
+  await quorum.append([createRecord(RecordKind.turn, 't1')], 900)
   servers[0]!.close()
   servers[1]!.close()
-  await expect(quorum.append([record(RecordKind.turn, 't2')], 300)).rejects.toThrow('storage instances')
+  await expect(quorum.append([createRecord(RecordKind.turn, 't2')], 300)).rejects.toThrow('storage instances')
   await expect(quorum.findChain('t3', 300)).rejects.toThrow('storage instances')
 })
 
-test('an entry whose view lacks members learns of them from the first answer', async () => {
+test('a view that lacks members is replaced by the newer one in the first reply', async () => {
   for (const server of servers.splice(0)) server.close()
   const members: View['members'] = []
   const ledgers: Ledger[] = []
@@ -83,19 +83,19 @@
   for (const ledger of ledgers) ledger.adoptView({ version: 9, members, leaveVersion: 0 })
   const stale = new LedgerQuorum({ zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => {} }, noopLog)
   stale.adoptView({ version: 8, members: members.slice(0, 1), leaveVersion: 0 }, 'test')
-  await stale.append([record(RecordKind.turn, 't1')], 900)
+  await stale.append([createRecord(RecordKind.turn, 't1')], 900)
   expect(ledgers.filter(ledger => ledger.records.count === 1).length).toBeGreaterThan(1)
   stale.close()
 })
 
-test('a view with too few members is asked for again without any call', async () => {
-  let asked = 0
+test('a view with too few members is reported as stale without any request', async () => {
+  let refreshes = 0
   const stale = new LedgerQuorum({
-    zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => { asked++ }
+    zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => { refreshes++ }
   }, noopLog)
   stale.adoptView({ ...view, members: view.members.slice(0, 1) }, 'test')
   expect(stale.isAvailable).toBe(false)
   await new Promise(resolve => setTimeout(resolve, 500))
-  expect(asked).toBeGreaterThan(0)
+  expect(refreshes).toBeGreaterThan(0)
   stale.close()
 })
