--- a/process/storage/src/membership.ts
+++ b/process/storage/src/membership.ts
@@ -6,54 +6,58 @@
 import type { EventLog } from '#process/log'
 import { MemberState, canLeave, requiredCopySources, emptyView, canEvict, parseView, viewObjectName, withServing, withLeaving, withMember, withSynced } from '#process/membership'
 import { PeerCopier } from './copier.js'
-import type { CopyMark } from './copier.js'
+import type { CompletedPass } from './copier.js'
 
-/// What a storage instance is, apart from its state.
+/// The storage instance that takes part in the membership.
 export interface MembershipOptions {
   readonly name: string
   readonly address: string
   readonly zone: string
   readonly toleratedLosses: number
-  /// The system starts for the first time, and the disk was empty.
+  /// Whether the system starts for the first time and the disk was empty.
   readonly isFirstStart: boolean
   readonly connect: (address: string) => LedgerPeer
 }
 
-const viewWaitMs = 5000
-const retirementWaitMs = 10_000
+const viewWatchWaitMs = 5000
+const retirementWatchWaitMs = 10_000
 const watchPauseMs = 50
-const tickMs = 400
-const calmCopyPauseMs = 2000
-const urgentCopyPauseMs = 100
-/// A member that no peer reaches for this long may give way to another one.
-const unreachableAfterMs = 5000
-/// A peer that answered this recently counts as present.
-const presentForMs = 4500
-const writeRetryMs = 800
+const reconcileIntervalMs = 400
+/// Delay between two copy passes over a peer while this member is complete.
+const steadyCopyDelayMs = 2000
+/// Delay between two copy passes over a peer while this member lacks records.
+const catchUpCopyDelayMs = 100
+/// A member that could not be reached for this long may be evicted.
+const evictionTimeoutMs = 5000
+/// A peer that was last reached within this time counts as present.
+const presenceTimeoutMs = 4500
+const writeRetryDelayMs = 800
 
 interface PeerState {
   readonly member: Member
   readonly peer: LedgerPeer
   readonly copier: PeerCopier
-  mark: CopyMark | null
+  lastPass: CompletedPass | null
   lastContactMs: number
   isReachable: boolean
   isCopying: boolean
   nextCopyMs: number
 }
 
-/// Takes part in the storage membership: registers this disk, copies what it
-/// lacks, and changes the view in the platform's store by conditional writes.
+/// Keeps a storage instance in the membership: registers its disk, copies records
+/// that it lacks from its peers, and changes the view in the platform's store by
+/// conditional writes.
 export class MembershipController {
   private view: View = emptyView
   private revision = 0
-  private isKnown = false
+  /// Whether the view's object has been read, or found not to exist.
+  private hasReadView = false
   private isWriting = false
   private nextWriteMs = 0
   private readonly peers = new Map<string, PeerState>()
   private readonly retirements = new Map<string, { status: unknown }>()
-  private readonly stops: (() => void)[] = []
-  private ticker: ReturnType<typeof setInterval> | null = null
+  private readonly stopWatches: (() => void)[] = []
+  private reconcileTimer: ReturnType<typeof setInterval> | null = null
 
   constructor (
     private readonly options: MembershipOptions,
@@ -63,11 +67,11 @@
   ) {}
 
   start (): void {
-    const views = { kind: ObjectKind.storageViews, waitMs: viewWaitMs, pauseMs: watchPauseMs }
-    this.stops.push(watchObject(this.store, views, viewObjectName, object => this.onView(object), this.log))
-    this.stops.push(watchObjects(this.store, {
+    const views = { kind: ObjectKind.storageViews, waitMs: viewWatchWaitMs, pauseMs: watchPauseMs }
+    this.stopWatches.push(watchObject(this.store, views, viewObjectName, object => this.onView(object), this.log))
+    this.stopWatches.push(watchObjects(this.store, {
       kind: ObjectKind.retirements,
-      waitMs: retirementWaitMs,
+      waitMs: retirementWatchWaitMs,
       pauseMs: watchPauseMs
     }, {
       onListing: listing => {
@@ -81,37 +85,37 @@
         }
       }
     }, this.log))
-    this.ticker = setInterval(() => this.tick(), tickMs)
+    this.reconcileTimer = setInterval(() => this.reconcile(), reconcileIntervalMs)
   }
 
   stop (): void {
-    for (const stop of this.stops) stop()
-    if (this.ticker !== null) clearInterval(this.ticker)
+    for (const stop of this.stopWatches) stop()
+    if (this.reconcileTimer !== null) clearInterval(this.reconcileTimer)
     for (const state of this.peers.values()) state.peer.close()
   }
 
   private onView (object: StoredObject | null): void {
-    this.isKnown = true
+    this.hasReadView = true
     if (object !== null && object.revision > this.revision) {
       try {
-        this.adopt(parseView(object.spec), object.revision)
+        this.adoptView(parseView(object.spec), object.revision)
       } catch (error) {
         this.log.event(Events.viewRejected, { revision: object.revision, error: formatError(error) })
       }
     }
-    this.tick()
+    this.reconcile()
   }
 
-  private adopt (view: View, revision: number): void {
+  private adoptView (view: View, revision: number): void {
     this.revision = revision
     if (view.version <= this.view.version) return
     this.view = view
     this.ledger.adoptView(view)
-    this.meetPeers()
-    this.log.event(Events.viewAdopted, { version: view.version, revision, members: view.members.map(describe) })
+    this.updatePeers()
+    this.log.event(Events.viewAdopted, { version: view.version, revision, members: view.members.map(describeMember) })
   }
 
-  private meetPeers (): void {
+  private updatePeers (): void {
     const others = this.view.members.filter(member => member.diskId !== this.ledger.diskId)
     for (const [diskId, state] of this.peers) {
       if (others.some(member => member.diskId === diskId && member.address === state.member.address)) continue
@@ -127,7 +131,7 @@
         member,
         peer,
         copier,
-        mark: null,
+        lastPass: null,
         lastContactMs,
         isReachable: true,
         isCopying: false,
@@ -136,103 +140,109 @@
     }
   }
 
-  private tick (): void {
+  private reconcile (): void {
     const nowMs = performance.now()
     for (const state of this.peers.values()) this.copyWhenDue(state, nowMs)
-    if (this.isKnown && !this.isWriting && nowMs >= this.nextWriteMs) this.improveView(nowMs)
+    if (this.hasReadView && !this.isWriting && nowMs >= this.nextWriteMs) this.proposeChange(nowMs)
   }
 
-  /// Proposes the first change of the view that is due, if any.
-  private improveView (nowMs: number): void {
-    const next = this.nextView(nowMs)
-    if (next !== this.view) this.write(next)
+  /// Writes the first change of the view that is due, if any; otherwise reports retirements.
+  private proposeChange (nowMs: number): void {
+    const next = this.computeNextView(nowMs)
+    if (next !== this.view) this.startWrite(next)
     else this.reportRetirements()
   }
 
-  private nextView (nowMs: number): View {
+  private computeNextView (nowMs: number): View {
     const { options, ledger, view } = this
     const { name, address, zone } = options
-    const joined = withMember(view, { name, diskId: ledger.diskId, address, zone }, options.isFirstStart)
-    if (joined !== view) return this.isRetired(name) ? view : joined
-    const own = view.members.find(member => member.diskId === ledger.diskId)
-    if (own?.state === MemberState.joining && this.holdsAll()) return withServing(view, ledger.diskId)
-    const leaver = this.memberToLeave(nowMs)
-    if (leaver !== null) return withLeaving(view, leaver)
-    const isBehind = own?.state === MemberState.serving && own.syncedView < view.leaveVersion
-    return isBehind && this.holdsAllSince(view.leaveVersion) ? withSynced(view, ledger.diskId, view.leaveVersion) : view
+    const withOwnDisk = withMember(view, { name, diskId: ledger.diskId, address, zone }, options.isFirstStart)
+    if (withOwnDisk !== view) return this.isRetired(name) ? view : withOwnDisk
+    const ownMember = view.members.find(member => member.diskId === ledger.diskId)
+    if (ownMember?.state === MemberState.joining && this.holdsAllCommitted()) return withServing(view, ledger.diskId)
+    const leavingName = this.findMemberToRemove(nowMs)
+    if (leavingName !== null) return withLeaving(view, leavingName)
+    const isBehind = ownMember?.state === MemberState.serving && ownMember.syncedView < view.leaveVersion
+    return isBehind && this.hasSyncedSince(view.leaveVersion)
+      ? withSynced(view, ledger.diskId, view.leaveVersion)
+      : view
   }
 
-  /// Whether so many complete peers were copied that every counted record is here.
-  private holdsAll (): boolean {
+  /// Whether enough peers have been copied for this disk to hold every committed record.
+  private holdsAllCommitted (): boolean {
     const copied = [...this.peers.values()].filter(state => {
-      const member = this.memberOf(state)
-      return member !== undefined && member.state !== MemberState.joining && state.mark?.diskId === member.diskId
+      const member = this.findMember(state)
+      return member !== undefined && member.state !== MemberState.joining && state.lastPass?.diskId === member.diskId
     })
     return copied.length >= requiredCopySources(this.view, this.options.toleratedLosses)
   }
 
-  private holdsAllSince (viewVersion: number): boolean {
+  /// Whether every serving peer has been copied since it adopted the view `viewVersion`.
+  private hasSyncedSince (viewVersion: number): boolean {
     return [...this.peers.values()].every(state => {
-      const member = this.memberOf(state)
+      const member = this.findMember(state)
       if (member === undefined || member.state !== MemberState.serving) return true
-      return state.mark !== null && state.mark.diskId === member.diskId && state.mark.viewVersion >= viewVersion
+      return state.lastPass !== null && state.lastPass.diskId === member.diskId &&
+        state.lastPass.viewVersion >= viewVersion
     })
   }
 
-  private memberToLeave (nowMs: number): string | null {
+  /// The name of a member that should leave: one that is retired, or one that is
+  /// unreachable and not needed. At most one member leaves at a time.
+  private findMemberToRemove (nowMs: number): string | null {
     const { view, options } = this
     if (view.members.some(member => member.state === MemberState.leaving)) return null
     for (const member of view.members) {
       if (this.isRetired(member.name) && canLeave(view, member.name, options.toleratedLosses)) return member.name
     }
-    const present = this.presentDisks(nowMs)
+    const presentDiskIds = this.getPresentDiskIds(nowMs)
     for (const state of this.peers.values()) {
-      if (nowMs - state.lastContactMs < unreachableAfterMs) continue
-      if (canEvict(view, state.member.diskId, present, options.toleratedLosses)) return state.member.name
+      if (nowMs - state.lastContactMs < evictionTimeoutMs) continue
+      if (canEvict(view, state.member.diskId, presentDiskIds, options.toleratedLosses)) return state.member.name
     }
     return null
   }
 
-  private presentDisks (nowMs: number): ReadonlySet<string> {
-    const present = [...this.peers.values()].filter(state => nowMs - state.lastContactMs < presentForMs)
-    return new Set([this.ledger.diskId, ...present.map(state => state.member.diskId)])
+  private getPresentDiskIds (nowMs: number): ReadonlySet<string> {
+    const presentPeers = [...this.peers.values()].filter(state => nowMs - state.lastContactMs < presenceTimeoutMs)
+    return new Set([this.ledger.diskId, ...presentPeers.map(state => state.member.diskId)])
   }
 
   private isRetired (name: string): boolean {
     return this.retirements.has(name)
   }
 
-  private memberOf (state: PeerState): Member | undefined {
+  private findMember (state: PeerState): Member | undefined {
     return this.view.members.find(member => member.diskId === state.member.diskId)
   }
 
-  private write (next: View): void {
+  private startWrite (next: View): void {
     this.isWriting = true
-    this.writeOnce(next).catch((error: unknown) => {
-      if (error instanceof StoreConflictError) return this.readAgain()
-      this.noteWriteFailure(error)
-    }).catch((error: unknown) => this.noteWriteFailure(error)).finally(() => { this.isWriting = false })
+    this.writeView(next).catch((error: unknown) => {
+      if (error instanceof StoreConflictError) return this.refreshView()
+      this.recordWriteFailure(error)
+    }).catch((error: unknown) => this.recordWriteFailure(error)).finally(() => { this.isWriting = false })
   }
 
-  private async writeOnce (next: View): Promise<void> {
+  private async writeView (next: View): Promise<void> {
     const object = this.revision === 0
       ? await this.store.create(ObjectKind.storageViews, viewObjectName, next)
       : await this.store.update(ObjectKind.storageViews, viewObjectName, next, this.revision)
     this.log.event(Events.viewChanged, {
       from: this.view.version,
       to: next.version,
-      members: next.members.map(describe)
+      members: next.members.map(describeMember)
     })
-    if (object.revision > this.revision) this.adopt(next, object.revision)
+    if (object.revision > this.revision) this.adoptView(next, object.revision)
   }
 
-  /// A write without an answer may still be done; the watch then shows it.
-  private noteWriteFailure (error: unknown): void {
-    this.nextWriteMs = performance.now() + writeRetryMs
+  /// A write that failed without a response may have been applied; the watch reports it then.
+  private recordWriteFailure (error: unknown): void {
+    this.nextWriteMs = performance.now() + writeRetryDelayMs
     this.log.event(Events.storeWriteFailed, { kind: ObjectKind.storageViews, error: formatError(error) })
   }
 
-  private async readAgain (): Promise<void> {
+  private async refreshView (): Promise<void> {
     const object = await this.store.get(ObjectKind.storageViews, viewObjectName)
     if (object !== null) this.onView(object)
   }
@@ -242,8 +252,8 @@
     for (const [name, { status }] of this.retirements) {
       const isGone = !this.view.members.some(member => member.name === name)
       const state = isGone && this.view.version > 0 ? 'completed' : 'running'
-      const before = (status as { state?: unknown } | null)?.state
-      if (before === state || before === 'completed') continue
+      const reportedState = (status as { state?: unknown } | null)?.state
+      if (reportedState === state || reportedState === 'completed') continue
       this.retirements.set(name, { status: { state } })
       this.log.event(Events.retirement, { name, state, viewVersion: this.view.version })
       this.store.updateStatus(ObjectKind.retirements, name, { state }).catch((error: unknown) => {
@@ -253,52 +263,53 @@
     }
   }
 
-  /// One member speaks for all: the first one that is present.
+  /// Retirements are reported by one member only, the first serving one that is present.
   private isReporter (): boolean {
-    const present = this.presentDisks(performance.now())
-    const first = this.view.members.find(member => member.state === MemberState.serving && present.has(member.diskId))
-    return first?.diskId === this.ledger.diskId
+    const presentDiskIds = this.getPresentDiskIds(performance.now())
+    const reporter = this.view.members.find(member =>
+      member.state === MemberState.serving && presentDiskIds.has(member.diskId))
+    return reporter?.diskId === this.ledger.diskId
   }
 
   private copyWhenDue (state: PeerState, nowMs: number): void {
     if (state.isCopying || nowMs < state.nextCopyMs) return
     state.isCopying = true
-    state.copier.pass(this.view.version).then(({ mark, copied }) => {
-      state.mark = mark
-      this.noteContact(state)
+    state.copier.runPass(this.view.version).then(({ pass, copied }) => {
+      state.lastPass = pass
+      this.recordContact(state)
       if (copied > 0) {
         this.log.event(Events.copyCompleted, {
           from: state.member.name,
           copied,
-          viewVersion: mark.viewVersion
+          viewVersion: pass.viewVersion
         })
       }
     }, (error: unknown) => {
       this.log.event(Events.copyFailed, { from: state.member.name, error: formatError(error) })
-      this.noteSilence(state)
+      this.recordUnreachable(state)
     }).finally(() => {
       state.isCopying = false
-      state.nextCopyMs = performance.now() + (this.isUrgent() ? urgentCopyPauseMs : calmCopyPauseMs)
+      state.nextCopyMs = performance.now() + (this.isCatchingUp() ? catchUpCopyDelayMs : steadyCopyDelayMs)
     })
   }
 
-  private isUrgent (): boolean {
-    const own = this.view.members.find(member => member.diskId === this.ledger.diskId)
-    return own?.state !== MemberState.serving || own.syncedView < this.view.leaveVersion
+  private isCatchingUp (): boolean {
+    const ownMember = this.view.members.find(member => member.diskId === this.ledger.diskId)
+    return ownMember?.state !== MemberState.serving || ownMember.syncedView < this.view.leaveVersion
   }
 
-  private noteContact (state: PeerState): void {
+  private recordContact (state: PeerState): void {
     if (!state.isReachable) this.log.event(Events.memberRegained, { member: state.member.name })
     state.isReachable = true
     state.lastContactMs = performance.now()
   }
 
-  private noteSilence (state: PeerState): void {
+  private recordUnreachable (state: PeerState): void {
     if (state.isReachable) this.log.event(Events.memberLost, { member: state.member.name })
     state.isReachable = false
   }
 }
 
-function describe (member: Member): string {
+function describeMember (member: Member): string {
   return `${member.name}:${member.state}${member.replacement ? ':replacement' : ''}`
 }
--- a/process/storage/test/cluster.ts
+++ b/process/storage/test/cluster.ts
@@ -13,23 +13,23 @@
 import { LedgerQuorum } from '#process/quorum'
 import { MembershipController } from '#process/storage'
 
-export const startSize = 3
+export const initialSize = 3
 const toleratedLosses = 1
-const waitMs = 1500
-const defaultLatencyMs = 2
+const waitStepMs = 1500
+const defaultDelayMs = 2
 const entryCount = 3
 const watchPollMs = 50
-const callTimeoutMs = 900
+const requestTimeoutMs = 900
 
-/// The platform's store in memory, which can be away or lose its answers.
+/// The platform's store in memory, which can be unavailable or lose its responses.
 class MemoryStore implements ObjectStore {
-  isAway = false
-  losesAnswers = false
+  isUnavailable = false
+  losesResponses = false
   private revision = 1
   private readonly objects = new Map<string, StoredObject>()
 
   async list (kind: string): Promise<{ objects: StoredObject[], revision: number }> {
-    await this.call()
+    await this.simulateRequest()
     const objects = [...this.objects].filter(([key]) => key.startsWith(`${kind}/`)).map(([, object]) => object)
     return { objects, revision: this.revision }
   }
@@ -41,7 +41,7 @@
   ): Promise<{ changes: StoreChange[], revision: number }> {
     for (let waited = 0; waited < waitMs; waited += watchPollMs) {
       await sleep(watchPollMs)
-      if (this.isAway) throw new HistoryGoneError('the watch was cut')
+      if (this.isUnavailable) throw new HistoryGoneError('the watch was interrupted')
       const objects = [...this.objects].filter(([key, object]) => key.startsWith(`${kind}/`) && object.revision > revision)
       const changes = objects.map(([, object]) => ({ name: object.name, object }))
       if (changes.length > 0) return { changes, revision: this.revision }
@@ -50,7 +50,7 @@
   }
 
   async get (kind: string, name: string): Promise<StoredObject | null> {
-    await this.call()
+    await this.simulateRequest()
     return this.objects.get(`${kind}/${name}`) ?? null
   }
 
@@ -63,24 +63,24 @@
   }
 
   async updateStatus (kind: string, name: string, status: unknown): Promise<void> {
-    await this.call()
+    await this.simulateRequest()
     const object = this.objects.get(`${kind}/${name}`)!
     this.objects.set(`${kind}/${name}`, { ...object, revision: ++this.revision, status })
   }
 
   private async write (kind: string, name: string, spec: unknown, expected: number | undefined): Promise<StoredObject> {
-    await this.call()
+    await this.simulateRequest()
     const key = `${kind}/${name}`
     if (this.objects.get(key)?.revision !== expected) throw new StoreConflictError(kind, name)
     const object = { name, revision: ++this.revision, spec: JSON.parse(JSON.stringify(spec)), status: null }
     this.objects.set(key, object)
-    if (this.losesAnswers) throw new StoreUnavailableError('the answer was lost', true)
+    if (this.losesResponses) throw new StoreUnavailableError('the response was lost', true)
     return object
   }
 
-  private async call (): Promise<void> {
-    await sleep(defaultLatencyMs)
-    if (this.isAway) throw new StoreUnavailableError('away', false)
+  private async simulateRequest (): Promise<void> {
+    await sleep(defaultDelayMs)
+    if (this.isUnavailable) throw new StoreUnavailableError('away', false)
   }
 }
 
@@ -90,27 +90,28 @@
   folder: string
   ledger: Ledger | null
   membership: MembershipController | null
-  isGone: boolean
+  isRemoved: boolean
 }
 
-/// Storage instances with their real code over a fake network, disk faults and
-/// clock, and some entries' quorums before them.
+/// Storage instances that run the real code with a simulated network, disk faults
+/// and a fake clock, and the quorum clients of several entries.
 export class Cluster {
   readonly store = new MemoryStore()
   readonly nodes: Node[] = []
   readonly entries: readonly LedgerQuorum[]
-  /// One way, from an entry or a storage instance to an address.
-  latencyMs: (from: string, address: string) => number = () => defaultLatencyMs
-  /// Pairs of storage instances that can't reach each other.
-  readonly cuts = new Set<string>()
-  readonly kept = new Set<string>()
-  private turns = 0
+  /// One-way delay between an entry or a storage instance and an address.
+  networkDelayMs: (from: string, address: string) => number = () => defaultDelayMs
+  /// Pairs of storage instances, as `NAME|NAME`, that can't reach each other.
+  readonly partitions = new Set<string>()
+  /// IDs of committed turns.
+  readonly committed = new Set<string>()
+  private turnCount = 0
 
   constructor () {
     this.entries = Array.from({ length: entryCount }, (_, i) => new LedgerQuorum({
       zone: 'z',
       toleratedLosses,
-      connect: address => this.peer(`entry${i}`, address),
+      connect: address => this.createPeer(`entry${i}`, address),
       onStaleView: () => this.readView().catch(() => {})
     }, noopLog))
   }
@@ -119,12 +120,12 @@
     return this.entries[0]!
   }
 
-  /// A cluster of the size that a system starts with, all of it serving.
+  /// Starts a cluster of `initialSize` instances and lets them form the first view.
   static async start (): Promise<Cluster> {
     const cluster = new Cluster()
-    for (let i = 0; i < startSize; i++) cluster.boot(cluster.newNode(), true)
+    for (let i = 0; i < initialSize; i++) cluster.startNode(cluster.createNode(), true)
     await cluster.advance(3000)
-    await cluster.settle(cluster.readView())
+    await cluster.advanceUntil(cluster.readView())
     return cluster
   }
 
@@ -145,10 +146,10 @@
     return object === undefined ? null : parseView(object.spec)
   }
 
-  /// Whether another disk may be lost: all members are up and complete.
-  get isWhole (): boolean {
+  /// Whether another disk may be lost: all members are up, serving and connected.
+  get canLoseDisk (): boolean {
     const members = this.view?.members ?? []
-    return !this.store.isAway && this.cuts.size === 0 && members.length >= 3 && members.every(member => {
+    return !this.store.isUnavailable && this.partitions.size === 0 && members.length >= 3 && members.every(member => {
       const node = this.nodes.find(other => other.name === member.name)
       return member.state === MemberState.serving && node?.ledger?.diskId === member.diskId
     })
@@ -162,26 +163,28 @@
 
   restart (node: Node, losesDisk: boolean): void {
     this.kill(node)
-    if (node.isGone) return
+    if (node.isRemoved) return
     if (losesDisk) {
       rmSync(node.folder, { recursive: true, force: true })
-      node.folder = newFolder()
+      node.folder = createFolder()
     }
-    this.boot(node, false)
+    this.startNode(node, false)
   }
 
   add (): void {
-    this.boot(this.newNode(), false)
+    this.startNode(this.createNode(), false)
   }
 
   remove (node: Node): void {
-    node.isGone = true
+    node.isRemoved = true
     this.kill(node)
   }
 
   async retire (node: Node): Promise<void> {
-    if (this.store.isAway) return
-    await this.settle(this.store.create(ObjectKind.retirements, node.name, { finish_by_s: 8 }).then(() => {}, () => {}))
+    if (this.store.isUnavailable) return
+    await this.advanceUntil(
+      this.store.create(ObjectKind.retirements, node.name, { finish_by_s: 8 }).then(() => {}, () => {})
+    )
   }
 
   retirementState (node: Node): string | undefined {
@@ -189,10 +192,10 @@
     return (objects.get(`${ObjectKind.retirements}/${node.name}`)?.status as { state?: string } | null)?.state
   }
 
-  /// Tries to keep a turn, after the latest one or at the start of a chain.
-  async keepTurn (continues: boolean): Promise<void> {
-    const id = `t${++this.turns}`
-    const previousId = continues ? [...this.kept].pop() ?? '' : ''
+  /// Tries to append a turn that continues the latest committed one or starts a chain.
+  async appendTurn (continues: boolean): Promise<void> {
+    const id = `t${++this.turnCount}`
+    const previousId = continues ? [...this.committed].pop() ?? '' : ''
     const turn: LedgerRecord = {
       kind: RecordKind.turn,
       id,
@@ -205,32 +208,33 @@
       retentionMs: 600_000,
       instanceId: ''
     }
-    const isKept = await this.settle(this.quorum.append([turn], callTimeoutMs).then(() => true, () => false))
-    if (isKept) this.kept.add(id)
+    const isCommitted = await this.advanceUntil(
+      this.quorum.append([turn], requestTimeoutMs).then(() => true, () => false)
+    )
+    if (isCommitted) this.committed.add(id)
   }
 
-  /// The kept turns that are said not to exist; there must be none.
-  async denied (): Promise<string[]> {
-    const denied: string[] = []
-    for (const id of this.kept) {
-      const chain = await this.settle(this.quorum.findChain(id, callTimeoutMs).catch(() => 'unknown' as const))
-      if (chain === null) denied.push(id)
+  /// IDs of committed turns that a quorum claims to be absent; there must be none.
+  async findDeniedTurns (): Promise<string[]> {
+    const deniedTurns: string[] = []
+    for (const id of this.committed) {
+      const chain = await this.advanceUntil(this.quorum.findChain(id, requestTimeoutMs).catch(() => 'unknown' as const))
+      if (chain === null) deniedTurns.push(id)
     }
-    return denied
+    return deniedTurns
   }
 
-  /// The kept turns that are found.
-  async found (): Promise<number> {
+  async countFoundTurns (): Promise<number> {
     let found = 0
-    for (const id of this.kept) {
-      const chain = await this.settle(this.quorum.findChain(id, callTimeoutMs).catch(() => null))
+    for (const id of this.committed) {
+      const chain = await this.advanceUntil(this.quorum.findChain(id, requestTimeoutMs).catch(() => null))
       if (chain !== null) found++
     }
     return found
   }
 
-  /// Lets time go on until the work is done.
-  async settle<Value> (work: Promise<Value>): Promise<Value> {
+  /// Advances the clock until `work` has settled.
+  async advanceUntil<Value> (work: Promise<Value>): Promise<Value> {
     const progress = { isDone: false }
     const done = work.finally(() => { progress.isDone = true })
     while (!progress.isDone) await this.advance(1)
@@ -243,14 +247,14 @@
     for (const entry of this.entries) entry.adoptView(parseView(object.spec), 'store')
   }
 
-  private newNode (): Node {
+  private createNode (): Node {
     const name = `s${this.nodes.length}`
-    const node = { name, address: `${name}:1`, folder: newFolder(), ledger: null, membership: null, isGone: false }
+    const node = { name, address: `${name}:1`, folder: createFolder(), ledger: null, membership: null, isRemoved: false }
     this.nodes.push(node)
     return node
   }
 
-  private boot (node: Node, isFirst: boolean): void {
+  private startNode (node: Node, isFirst: boolean): void {
     const { disk, contents } = Disk.open(node.folder, noopLog)
     const ledger = node.ledger = new Ledger(disk, contents)
     node.membership = new MembershipController({
@@ -259,50 +263,50 @@
       zone: 'z',
       toleratedLosses,
       isFirstStart: isFirst && contents.wasEmpty,
-      connect: address => this.peer(node.name, address)
+      connect: address => this.createPeer(node.name, address)
     }, this.store, ledger, noopLog)
     node.membership.start()
   }
 
-  private peer (from: string, address: string): LedgerPeer {
-    const reach = async <Reply> (ask: (ledger: Ledger) => Promise<Reply>): Promise<Reply> => {
-      await sleep(this.latencyMs(from, address))
+  private createPeer (from: string, address: string): LedgerPeer {
+    const send = async <Reply> (ask: (ledger: Ledger) => Promise<Reply>): Promise<Reply> => {
+      await sleep(this.networkDelayMs(from, address))
       const node = this.nodes.find(other => other.address === address)
-      if (node?.ledger == null || this.cuts.has(`${from}|${node.name}`) || this.cuts.has(`${node.name}|${from}`)) {
-        throw new PeerError(`${address} is out of reach`)
+      if (node?.ledger == null || this.partitions.has(`${from}|${node.name}`) || this.partitions.has(`${node.name}|${from}`)) {
+        throw new PeerError(`${address} is unreachable`)
       }
       const reply = await ask(node.ledger)
-      await sleep(this.latencyMs(from, address))
-      if (node.ledger === null) throw new PeerError(`${address} died`)
+      await sleep(this.networkDelayMs(from, address))
+      if (node.ledger === null) throw new PeerError(`${address} stopped before it replied`)
       return reply
     }
     return {
-      append: request => reach(ledger => ledger.append(request)),
-      findChain: request => reach(ledger => ledger.findChain(request)),
-      digest: request => reach(ledger => ledger.digest(request)),
-      fetch: request => reach(ledger => ledger.fetch(request)),
+      append: request => send(ledger => ledger.append(request)),
+      findChain: request => send(ledger => ledger.findChain(request)),
+      digest: request => send(ledger => ledger.digest(request)),
+      fetch: request => send(ledger => ledger.fetch(request)),
       close: () => {}
     }
   }
 }
 
-/// What may happen to a cluster, where the tolerated losses allow it.
+/// What may happen to a cluster. A fault that exceeds the tolerated losses is skipped.
 export type Fault = 'kill' | 'restart' | 'wipe' | 'away' | 'back' | 'wait'
 
-export const faults: Readonly<Record<Fault, (on: Cluster, node: Node) => void | Promise<void>>> = {
-  kill: (on, node) => on.kill(node),
-  restart: on => { for (const node of on.nodes) if (node.ledger === null) on.restart(node, false) },
-  wipe: (on, node) => { if (on.isWhole && !node.isGone) on.restart(node, true) },
-  away: on => { on.store.isAway = true },
-  back: on => { on.store.isAway = false },
-  wait: on => on.advance(waitMs)
+export const faults: Readonly<Record<Fault, (cluster: Cluster, node: Node) => void | Promise<void>>> = {
+  kill: (cluster, node) => cluster.kill(node),
+  restart: cluster => { for (const node of cluster.nodes) if (node.ledger === null) cluster.restart(node, false) },
+  wipe: (cluster, node) => { if (cluster.canLoseDisk && !node.isRemoved) cluster.restart(node, true) },
+  away: cluster => { cluster.store.isUnavailable = true },
+  back: cluster => { cluster.store.isUnavailable = false },
+  wait: cluster => cluster.advance(waitStepMs)
 }
 
-/// Clusters live on this clock; `vi.useRealTimers` ends it.
-export function pauseClock (): void {
+/// Installs the fake clock that clusters run on; `vi.useRealTimers` removes it.
+export function useFakeClock (): void {
   vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'setImmediate', 'performance', 'Date'] })
 }
 
-function newFolder (): string {
+function createFolder (): string {
   return mkdtempSync(join(tmpdir(), 'cluster-'))
 }
