--- a/process/ledger/src/disk.ts
+++ b/process/ledger/src/disk.ts
@@ -8,23 +8,24 @@
 import { Events, formatError } from '#process/log'
 import type { EventLog } from '#process/log'
 
-/// What a disk held when it was opened.
+/// The contents of a disk when it was opened.
 export interface DiskContents {
   readonly records: readonly { readonly record: LedgerRecord, readonly segment: number }[]
   /// The disk held neither records nor an identity.
   readonly wasEmpty: boolean
 }
 
-const identityFile = 'identity'
+const identityFileName = 'identity'
 const segmentPattern = /^segment-(\d{8})$/
-const frameBytes = 8
+const frameHeaderBytes = 8
 const maxRecordBytes = 64 * 1024 * 1024
-const segmentBytes = 8 * 1024 * 1024
+/// A new segment starts once the current one is larger than this.
+const segmentRolloverBytes = 8 * 1024 * 1024
 
-/// An append-only log of records in numbered segments. A record is framed with
-/// its length and checksum, so that a torn tail is found. Appends of one turn of
-/// the loop share one write and one sync; the loop waits for the disk, which
-/// costs less than a hand-over to other threads.
+/// An append-only log of records in numbered segment files. Each record is framed
+/// with its length and checksum, so that a torn write is detected. Appends in one
+/// iteration of the event loop share one write and one sync. The sync blocks the
+/// event loop, which costs less than handing it to another thread.
 export class Disk {
   private segment = 0
   private file = noFile
@@ -34,11 +35,13 @@
 
   private constructor (private readonly folder: string, readonly diskId: string, private readonly log: EventLog) {}
 
+  /// Opens a data folder, creates it if needed, and reads its records. Appends go
+  /// to a new segment, so that no record follows a torn write.
   static open (folder: string, log: EventLog): { disk: Disk, contents: DiskContents } {
     mkdirSync(folder, { recursive: true })
     const names = readdirSync(folder)
-    const known = names.includes(identityFile) ? readIdentity(folder) : null
-    const disk = new Disk(folder, known ?? writeIdentity(folder), log)
+    const existingDiskId = names.includes(identityFileName) ? readIdentity(folder) : null
+    const disk = new Disk(folder, existingDiskId ?? writeIdentity(folder), log)
     const records = disk.readSegments(names)
     disk.startSegment()
     const { diskId, segments } = disk
@@ -46,9 +49,9 @@
       diskId,
       records: records.length,
       segments: segments.length - 1,
-      isNew: known === null
+      isNew: existingDiskId === null
     })
-    return { disk, contents: { records, wasEmpty: known === null && records.length === 0 } }
+    return { disk, contents: { records, wasEmpty: existingDiskId === null && records.length === 0 } }
   }
 
   get segmentCount (): number {
@@ -59,20 +62,20 @@
     return this.segments[0]!
   }
 
-  /// Resolves to the segment that holds the records once they are synced.
+  /// Appends records, and resolves to the segment that holds them once they are synced.
   append (records: readonly LedgerRecord[]): Promise<number> {
     if (this.pending === null) {
-      this.pending = newBatch()
+      this.pending = createBatch()
       setImmediate(() => this.writePending())
     }
     for (const record of records) this.pending.frames.push(...encodeFrame(record))
     return this.pending.synced
   }
 
-  /// Removes a segment whose records are held elsewhere or no longer needed.
+  /// Removes a segment whose records are in another segment or have expired.
   dropSegment (segment: number): void {
     this.segments = this.segments.filter(other => other !== segment)
-    unlinkSync(join(this.folder, segmentName(segment)))
+    unlinkSync(join(this.folder, formatSegmentName(segment)))
     this.log.event(Events.segmentDropped, { segment })
   }
 
@@ -95,9 +98,9 @@
   }
 
   private write (frames: readonly Buffer[]): number {
-    if (this.writtenBytes > segmentBytes) this.startSegment()
+    if (this.writtenBytes > segmentRolloverBytes) this.startSegment()
     const bytes = Buffer.concat(frames)
-    for (let at = 0; at < bytes.length;) at += writeSync(this.file, bytes, at)
+    for (let offset = 0; offset < bytes.length;) offset += writeSync(this.file, bytes, offset)
     fdatasyncSync(this.file)
     this.writtenBytes += bytes.length
     return this.segment
@@ -106,7 +109,7 @@
   private startSegment (): void {
     if (this.file !== noFile) closeSync(this.file)
     const number = Math.max(this.segment, ...this.segments, 0) + 1
-    this.file = openSync(join(this.folder, segmentName(number)), 'wx')
+    this.file = openSync(join(this.folder, formatSegmentName(number)), 'wx')
     fsyncSync(this.file)
     syncFolder(this.folder)
     this.segment = number
@@ -118,7 +121,7 @@
     const found: { record: LedgerRecord, segment: number }[] = []
     this.segments = names.flatMap(name => segmentPattern.exec(name)?.[1] ?? []).map(Number).sort((a, b) => a - b)
     for (const segment of this.segments) {
-      const bytes = readFileSync(join(this.folder, segmentName(segment)))
+      const bytes = readFileSync(join(this.folder, formatSegmentName(segment)))
       const { records, validBytes } = decodeFrames(bytes)
       for (const record of records) found.push({ record, segment })
       if (validBytes < bytes.length) {
@@ -138,7 +141,7 @@
   readonly reject: (error: Error) => void
 }
 
-function newBatch (): Batch {
+function createBatch (): Batch {
   let resolve: Batch['resolve'] = () => {}
   let reject: Batch['reject'] = () => {}
   const synced = new Promise<number>((_resolve, _reject) => {
@@ -148,43 +151,43 @@
   return { frames: [], synced, resolve, reject }
 }
 
-/// A record's bytes on disk: length and checksum, then the record.
+/// Encodes a record as stored on disk: length and CRC-32, 4 bytes each, then the message.
 export function encodeFrame (record: LedgerRecord): [Buffer, Buffer] {
   const body = Buffer.from(LedgerRecord.encode(record).finish())
-  const head = Buffer.allocUnsafe(frameBytes)
-  head.writeUInt32LE(body.length, 0)
-  head.writeUInt32LE(crc32(body), 4)
-  return [head, body]
+  const header = Buffer.allocUnsafe(frameHeaderBytes)
+  header.writeUInt32LE(body.length, 0)
+  header.writeUInt32LE(crc32(body), 4)
+  return [header, body]
 }
 
-/// Reads records up to the first frame that is torn.
+/// Decodes the records before the first torn or corrupt frame. `validBytes` is their encoded size.
 export function decodeFrames (bytes: Buffer): { records: LedgerRecord[], validBytes: number } {
   const records: LedgerRecord[] = []
-  let at = 0
-  while (at + frameBytes <= bytes.length) {
-    const length = bytes.readUInt32LE(at)
-    const end = at + frameBytes + length
+  let offset = 0
+  while (offset + frameHeaderBytes <= bytes.length) {
+    const length = bytes.readUInt32LE(offset)
+    const end = offset + frameHeaderBytes + length
     if (length === 0 || length > maxRecordBytes || end > bytes.length) break
-    const body = bytes.subarray(at + frameBytes, end)
-    if (crc32(body) !== bytes.readUInt32LE(at + 4)) break
+    const body = bytes.subarray(offset + frameHeaderBytes, end)
+    if (crc32(body) !== bytes.readUInt32LE(offset + 4)) break
     records.push(LedgerRecord.decode(body))
-    at = end
+    offset = end
   }
-  return { records, validBytes: at }
+  return { records, validBytes: offset }
 }
 
-function segmentName (number: number): string {
+function formatSegmentName (number: number): string {
   return `segment-${String(number).padStart(8, '0')}`
 }
 
 function readIdentity (folder: string): string | null {
-  const text = readFileSync(join(folder, identityFile), 'utf8')
+  const text = readFileSync(join(folder, identityFileName), 'utf8')
   return /^[0-9a-f]{24}$/.test(text) ? text : null
 }
 
 function writeIdentity (folder: string): string {
   const diskId = randomBytes(12).toString('hex')
-  const path = join(folder, identityFile)
+  const path = join(folder, identityFileName)
   const file = openSync(`${path}.new`, 'w')
   writeSync(file, diskId)
   fsyncSync(file)
--- a/process/ledger/src/ledger.ts
+++ b/process/ledger/src/ledger.ts
@@ -4,22 +4,24 @@
 import type { Disk, DiskContents } from './disk.js'
 import { RecordIndex, recordKey } from './records.js'
 
-const maxFetchBytes = 2 * 1024 * 1024
-// Segments beyond this are emptied, oldest first, into the newest one.
+/// A fetch reply ends with the record that takes it beyond this size.
+const maxFetchReplyBytes = 2 * 1024 * 1024
+/// With more segments than this, the oldest one is compacted into the newest.
 const maxSegments = 8
 
-/// One storage instance's records: held in memory, synced on its disk before
-/// an append is acknowledged.
+/// The records of one storage instance: indexed in memory, and synced to its disk
+/// before an append is acknowledged. Handles the requests of the ledger protocol.
 export class Ledger implements LedgerHandler {
   readonly records = new RecordIndex()
-  /// Names this process's order of arrivals.
+  /// Identifies the order of arrival in this process, in which digests list the keys.
   private readonly epoch = randomBytes(6).toString('hex')
-  /// The newest membership that this instance knows.
+  /// The newest view that this instance has adopted.
   private view: View = emptyView
-  /// Syncs under way, by key: a repeated append waits for the first one.
-  private readonly syncing = new Map<string, Promise<unknown>>()
-  /// Set once a write failed: what the disk holds isn't known from then on.
+  /// Syncs in flight by record key: a repeated append waits for the first one.
+  private readonly pendingSyncs = new Map<string, Promise<unknown>>()
+  /// Set once a write fails. The contents of the disk are uncertain from then on, so later appends are rejected.
   private failure: Error | null = null
+  /// Called when a write to the disk fails.
   onFailure: (error: Error) => void = () => {}
 
   constructor (private readonly disk: Disk, contents: DiskContents) {
@@ -36,77 +38,78 @@
 
   async append (request: AppendRequest): Promise<AppendReply> {
     await this.persist(request.records)
-    const account = request.accountOf === '' ? [] : this.records.accountOf(request.accountOf)
-    return { standing: this.standing(request.viewVersion), account }
+    const account = request.accountOf === '' ? [] : this.records.getAccount(request.accountOf)
+    return { standing: this.createStanding(request.viewVersion), account }
   }
 
   async findChain (request: FindChainRequest): Promise<FindChainReply> {
-    const standing = this.standing(request.viewVersion)
-    const found = this.records.chainOf(request.turnId)
+    const standing = this.createStanding(request.viewVersion)
+    const found = this.records.getChain(request.turnId)
     if (found === null) return { standing, chain: [], incomplete: false }
-    return { standing, chain: found.records, incomplete: !found.isWhole }
+    return { standing, chain: found.records, incomplete: !found.isComplete }
   }
 
   async digest (request: DigestRequest): Promise<DigestReply> {
     const cursor = request.epoch === this.epoch ? request.cursor : 0
-    const { keys, next, isEnd } = this.records.digest(cursor, request.limit)
-    return { standing: this.standing(request.viewVersion), keys, nextCursor: next, atEnd: isEnd, epoch: this.epoch }
+    const { keys, nextCursor, isEnd } = this.records.listKeys(cursor, request.limit)
+    return { standing: this.createStanding(request.viewVersion), keys, nextCursor, atEnd: isEnd, epoch: this.epoch }
   }
 
   async fetch (request: FetchRequest): Promise<FetchReply> {
     const records: LedgerRecord[] = []
     let bytes = 0
     for (const key of request.keys) {
-      const held = this.records.get(key)
-      if (held === undefined) continue
-      records.push(held.record)
-      bytes += held.record.input.length + held.record.output.length
-      if (bytes > maxFetchBytes) break
+      const indexed = this.records.get(key)
+      if (indexed === undefined) continue
+      records.push(indexed.record)
+      bytes += indexed.record.input.length + indexed.record.output.length
+      if (bytes > maxFetchReplyBytes) break
     }
-    return { standing: this.standing(Number.MAX_SAFE_INTEGER), records }
+    return { standing: this.createStanding(Number.MAX_SAFE_INTEGER), records }
   }
 
-  /// Holds records and resolves once they are synced.
+  /// Adds the records that are absent, and resolves once all of them are synced.
   async persist (records: readonly LedgerRecord[]): Promise<void> {
     if (this.failure !== null) throw this.failure
     const added = records.flatMap(record => this.records.add(record) ?? [])
-    const waits = records.flatMap(record => this.syncing.get(recordKey(record)) ?? [])
+    const pending = records.flatMap(record => this.pendingSyncs.get(recordKey(record)) ?? [])
     if (added.length > 0) {
-      const synced = this.disk.append(added.map(held => held.record))
-      const keys = added.map(held => recordKey(held.record))
-      for (const key of keys) this.syncing.set(key, synced)
+      const synced = this.disk.append(added.map(indexed => indexed.record))
+      const keys = added.map(indexed => recordKey(indexed.record))
+      for (const key of keys) this.pendingSyncs.set(key, synced)
       try {
         const segment = await synced
-        for (const held of added) held.segment = segment
+        for (const indexed of added) indexed.segment = segment
       } catch (error) {
         this.failure = error as Error
         this.onFailure(this.failure)
         throw error
       } finally {
-        for (const key of keys) this.syncing.delete(key)
+        for (const key of keys) this.pendingSyncs.delete(key)
       }
     }
-    await Promise.all(waits)
+    await Promise.all(pending)
   }
 
-  /// Forgets expired records, and frees the oldest segment where there are many.
+  /// Removes expired records. If there are more than `maxSegments` segments, moves
+  /// the records of the oldest one to the newest and drops it.
   async compact (nowMs: number): Promise<void> {
     this.records.expire(nowMs)
     if (this.disk.segmentCount <= maxSegments) return
     const oldest = this.disk.oldestSegment
-    const live = [...this.records.inSegment(oldest)]
-    if (live.length > 0) {
-      const segment = await this.disk.append(live.map(held => held.record))
-      for (const held of live) held.segment = segment
+    const liveRecords = [...this.records.recordsInSegment(oldest)]
+    if (liveRecords.length > 0) {
+      const segment = await this.disk.append(liveRecords.map(indexed => indexed.record))
+      for (const indexed of liveRecords) indexed.segment = segment
     }
     this.disk.dropSegment(oldest)
   }
 
-  private standing (callersVersion: number): Standing {
+  private createStanding (callerViewVersion: number): Standing {
     return {
       diskId: this.diskId,
       viewVersion: this.view.version,
-      newerView: this.view.version > callersVersion ? this.view : undefined
+      newerView: this.view.version > callerViewVersion ? this.view : undefined
     }
   }
 }
--- a/process/ledger/src/records.ts
+++ b/process/ledger/src/records.ts
@@ -1,124 +1,128 @@
 import { RecordKind } from '#connection/rpc'
 import type { AccountEntry, LedgerRecord } from '#connection/rpc'
 
-/// A record that is held, and until when.
-export interface HeldRecord {
+/// A record with its expiry and its place on disk.
+export interface IndexedRecord {
   readonly record: LedgerRecord
-  keepUntilMs: number
-  /// The disk segment that holds it, -1 while it is in none.
+  /// The end of the record's own retention, or of a later turn's that needs it.
+  expiresAtMs: number
+  /// The disk segment that holds the record, -1 until it has been written to one.
   segment: number
 }
 
-// Clocks of instances differ, and a turn counts from the end of its answer.
-const retentionSlackMs = 15_000
+/// Allows for clocks that differ between instances, and for retention that starts at the end of a turn's response.
+const retentionMarginMs = 15_000
 
-/// The records of one storage instance, indexed by key, turn and program, and
-/// listed in the order of their arrival. Times are wall-clock milliseconds.
+/// The records of one storage instance, indexed by key and by program, and listed
+/// in the order of their arrival. Times are wall-clock milliseconds.
 export class RecordIndex {
-  private readonly byKey = new Map<string, HeldRecord>()
+  private readonly byKey = new Map<string, IndexedRecord>()
   private readonly accounts = new Map<string, Map<string, AccountEntry>>()
-  /// Until when turns that aren't held yet are needed by later ones that are.
-  private readonly neededUntilMs = new Map<string, number>()
-  private arrivals: string[] = []
-  private arrivalBase = 0
+  /// When turns expire that are absent here but needed by later turns of their chain, by key.
+  private readonly absentTurnExpiryMs = new Map<string, number>()
+  private arrivalKeys: string[] = []
+  /// Cursor of the first element of `arrivalKeys`.
+  private firstArrivalCursor = 0
 
   get count (): number {
     return this.byKey.size
   }
 
-  get (key: string): HeldRecord | undefined {
+  get (key: string): IndexedRecord | undefined {
     return this.byKey.get(key)
   }
 
-  /// Adds a record and returns it, or null where it is held already.
-  add (record: LedgerRecord, segment = -1): HeldRecord | null {
+  /// Adds a record and returns its index entry, or null if it is already present.
+  add (record: LedgerRecord, segment = -1): IndexedRecord | null {
     const key = recordKey(record)
     if (this.byKey.has(key)) return null
-    const ownUntilMs = record.recordedAtMs + record.retentionMs + retentionSlackMs
-    const held = { record, segment, keepUntilMs: Math.max(ownUntilMs, this.neededUntilMs.get(key) ?? 0) }
-    this.neededUntilMs.delete(key)
-    this.byKey.set(key, held)
-    this.arrivals.push(key)
-    this.enterAccount(record)
-    if (record.kind === RecordKind.turn) this.extendChain(record.previousId, held.keepUntilMs)
-    return held
+    const ownExpiryMs = record.recordedAtMs + record.retentionMs + retentionMarginMs
+    const indexed = { record, segment, expiresAtMs: Math.max(ownExpiryMs, this.absentTurnExpiryMs.get(key) ?? 0) }
+    this.absentTurnExpiryMs.delete(key)
+    this.byKey.set(key, indexed)
+    this.arrivalKeys.push(key)
+    this.addToAccount(record)
+    if (record.kind === RecordKind.turn) this.extendRetention(record.previousId, indexed.expiresAtMs)
+    return indexed
   }
 
-  /// A turn's chain, oldest first; null where the turn isn't known, and not
-  /// whole where an earlier turn is missing.
-  chainOf (turnId: string): { records: LedgerRecord[], isWhole: boolean } | null {
+  /// A turn's chain, oldest first, or null if the turn is absent. The chain is
+  /// incomplete if a previous turn is absent.
+  getChain (turnId: string): { records: LedgerRecord[], isComplete: boolean } | null {
     const records: LedgerRecord[] = []
     for (let id = turnId; id !== '';) {
-      const held = this.byKey.get(turnKey(id))
-      if (held === undefined) return records.length === 0 ? null : { records: records.reverse(), isWhole: false }
-      records.push(held.record)
-      id = held.record.previousId
+      const indexed = this.byKey.get(turnKey(id))
+      if (indexed === undefined) return records.length === 0 ? null : { records: records.reverse(), isComplete: false }
+      records.push(indexed.record)
+      id = indexed.record.previousId
     }
-    return { records: records.reverse(), isWhole: true }
+    return { records: records.reverse(), isComplete: true }
   }
 
-  accountOf (programId: string): AccountEntry[] {
+  getAccount (programId: string): AccountEntry[] {
     return [...this.accounts.get(programId)?.values() ?? []]
   }
 
-  /// Keys in the order of arrival, from a cursor on.
-  digest (cursor: number, limit: number): { keys: string[], next: number, isEnd: boolean } {
-    const start = Math.max(cursor - this.arrivalBase, 0)
-    const keys = this.arrivals.slice(start, start + limit)
-    const next = start + keys.length
-    return { keys, next: next + this.arrivalBase, isEnd: next >= this.arrivals.length }
+  /// Lists up to `limit` keys in the order of arrival, starting at a cursor.
+  listKeys (cursor: number, limit: number): { keys: string[], nextCursor: number, isEnd: boolean } {
+    const start = Math.max(cursor - this.firstArrivalCursor, 0)
+    const keys = this.arrivalKeys.slice(start, start + limit)
+    const end = start + keys.length
+    return { keys, nextCursor: end + this.firstArrivalCursor, isEnd: end >= this.arrivalKeys.length }
   }
 
-  /// Forgets what has been kept long enough, and returns how many records that were.
+  /// Removes expired records and returns their number. Records that outlive their
+  /// own retention, as later turns need them, move to the end of the arrival order.
   expire (nowMs: number): number {
-    let dropped = 0
-    let passed = 0
-    const kept: string[] = []
-    for (const key of this.arrivals) {
-      const held = this.byKey.get(key)!
-      if (held.record.recordedAtMs + held.record.retentionMs + retentionSlackMs > nowMs) break
-      passed++
-      if (held.keepUntilMs > nowMs) {
-        kept.push(key)
+    let removed = 0
+    let scanned = 0
+    const keptKeys: string[] = []
+    for (const key of this.arrivalKeys) {
+      const indexed = this.byKey.get(key)!
+      if (indexed.record.recordedAtMs + indexed.record.retentionMs + retentionMarginMs > nowMs) break
+      scanned++
+      if (indexed.expiresAtMs > nowMs) {
+        keptKeys.push(key)
         continue
       }
-      this.forget(key, held.record)
-      dropped++
+      this.remove(key, indexed.record)
+      removed++
     }
-    for (const [key, untilMs] of this.neededUntilMs) if (untilMs <= nowMs) this.neededUntilMs.delete(key)
-    if (passed > 0) {
-      this.arrivals = this.arrivals.slice(passed).concat(kept)
-      this.arrivalBase += passed
+    for (const [key, expiryMs] of this.absentTurnExpiryMs) if (expiryMs <= nowMs) this.absentTurnExpiryMs.delete(key)
+    if (scanned > 0) {
+      this.arrivalKeys = this.arrivalKeys.slice(scanned).concat(keptKeys)
+      this.firstArrivalCursor += scanned
     }
-    return dropped
+    return removed
   }
 
-  * inSegment (segment: number): Generator<HeldRecord> {
-    for (const held of this.byKey.values()) if (held.segment === segment) yield held
+  * recordsInSegment (segment: number): Generator<IndexedRecord> {
+    for (const indexed of this.byKey.values()) if (indexed.segment === segment) yield indexed
   }
 
-  private enterAccount (record: LedgerRecord): void {
+  private addToAccount (record: LedgerRecord): void {
     if (record.programId === '') return
     let account = this.accounts.get(record.programId)
     if (account === undefined) this.accounts.set(record.programId, account = new Map())
-    account.set(record.id, mergeAccountEntries(account.get(record.id), entryOf(record)))
+    account.set(record.id, mergeAccountEntries(account.get(record.id), createAccountEntry(record)))
   }
 
-  private extendChain (previousId: string, untilMs: number): void {
+  /// Keeps the previous turns of a chain at least as long as a later turn.
+  private extendRetention (previousId: string, expiresAtMs: number): void {
     for (let id = previousId; id !== '';) {
-      const held = this.byKey.get(turnKey(id))
-      if (held === undefined) {
+      const indexed = this.byKey.get(turnKey(id))
+      if (indexed === undefined) {
         const key = turnKey(id)
-        this.neededUntilMs.set(key, Math.max(untilMs, this.neededUntilMs.get(key) ?? 0))
+        this.absentTurnExpiryMs.set(key, Math.max(expiresAtMs, this.absentTurnExpiryMs.get(key) ?? 0))
         return
       }
-      if (held.keepUntilMs >= untilMs) return
-      held.keepUntilMs = untilMs
-      id = held.record.previousId
+      if (indexed.expiresAtMs >= expiresAtMs) return
+      indexed.expiresAtMs = expiresAtMs
+      id = indexed.record.previousId
     }
   }
 
-  private forget (key: string, record: LedgerRecord): void {
+  private remove (key: string, record: LedgerRecord): void {
     this.byKey.delete(key)
     const account = this.accounts.get(record.programId)
     if (account === undefined) return
@@ -137,7 +141,7 @@
   return `${RecordKind.turn}/${id}`
 }
 
-function entryOf (record: LedgerRecord): AccountEntry {
+function createAccountEntry (record: LedgerRecord): AccountEntry {
   if (record.kind === RecordKind.reservation) {
     return {
       id: record.id,
@@ -149,7 +153,7 @@
   return { id: record.id, reserved: 0, spent: record.tokens, settled: true }
 }
 
-/// Joins what two sources know of one reservation.
+/// Merges what two sources report of one reservation.
 export function mergeAccountEntries (a: AccountEntry | undefined, b: AccountEntry): AccountEntry {
   if (a === undefined) return b
   return {
--- a/process/ledger/test/disk.test.ts
+++ b/process/ledger/test/disk.test.ts
@@ -11,7 +11,7 @@
 beforeEach(() => { folder = mkdtempSync(join(tmpdir(), 'ledger-')) })
 afterEach(() => rmSync(folder, { recursive: true }))
 
-function record (kind: number, id: string, fields: Partial<LedgerRecord> = {}): LedgerRecord {
+function createRecord (kind: number, id: string, fields: Partial<LedgerRecord> = {}): LedgerRecord {
   return { kind, id, programId: 'p', tokens: 5, previousId: '', input: Buffer.from('in'), output: Buffer.from('out'), recordedAtMs: 1000, retentionMs: 60_000, instanceId: '', ...fields }
 }
 
@@ -25,30 +25,30 @@
   return join(folder, names[names.length - 1]!)
 }
 
-test('what was acknowledged is there after a restart, under the same disk', async () => {
+test('acknowledged records and the disk ID survive a restart', async () => {
   const first = reopen()
-  await first.persist([record(RecordKind.turn, 't1'), record(RecordKind.turn, 't2', { previousId: 't1' })])
+  await first.persist([createRecord(RecordKind.turn, 't1'), createRecord(RecordKind.turn, 't2', { previousId: 't1' })])
   const second = reopen()
   expect(second.diskId).toBe(first.diskId)
-  expect(second.records.chainOf('t2')?.records.map(turn => turn.id)).toEqual(['t1', 't2'])
+  expect(second.records.getChain('t2')?.records.map(turn => turn.id)).toEqual(['t1', 't2'])
 })
 
 test.each([
-  ['a tail that is cut off', (path: string) => truncateSync(path, statSync(path).size - 3)],
-  ['garbage behind the records', (path: string) => appendFileSync(path, Buffer.from([9, 0, 0, 0, 1, 2, 3, 4, 5]))],
-  ['zeros behind the records', (path: string) => appendFileSync(path, Buffer.alloc(4096))]
-])('%s costs at most the last record, and later ones are kept', async (_, damage) => {
+  ['a truncated tail', (path: string) => truncateSync(path, statSync(path).size - 3)],
+  ['garbage after the records', (path: string) => appendFileSync(path, Buffer.from([9, 0, 0, 0, 1, 2, 3, 4, 5]))],
+  ['zeros after the records', (path: string) => appendFileSync(path, Buffer.alloc(4096))]
+])('with %s at most the last record is lost, and later appends persist', async (_, damage) => {
   const first = reopen()
-  await first.persist([record(RecordKind.turn, 't1')])
-  await first.persist([record(RecordKind.turn, 't2')])
+  await first.persist([createRecord(RecordKind.turn, 't1')])
+  await first.persist([createRecord(RecordKind.turn, 't2')])
   damage(newestSegment())
   const second = reopen()
-  expect(second.records.chainOf('t1')).not.toBeNull()
-  await second.persist([record(RecordKind.turn, 't3')])
-  expect(reopen().records.chainOf('t3')).not.toBeNull()
+  expect(second.records.getChain('t1')).not.toBeNull()
+  await second.persist([createRecord(RecordKind.turn, 't3')])
+  expect(reopen().records.getChain('t3')).not.toBeNull()
 })
 
-test('a wiped folder is another disk, and says so', async () => {
+test('a wiped folder gets a new disk ID and is reported as empty', async () => {
   const { diskId } = reopen()
   rmSync(folder, { recursive: true })
   const { disk, contents } = Disk.open(folder, noopLog)
@@ -56,40 +56,40 @@
   expect(contents.wasEmpty).toBe(true)
 })
 
-test('a repeated append changes nothing and waits for the first one', async () => {
+test('a repeated append adds no record and waits for the first one', async () => {
   const ledger = reopen()
-  const turn = record(RecordKind.turn, 't1')
+  const turn = createRecord(RecordKind.turn, 't1')
   await Promise.all([ledger.persist([turn]), ledger.persist([turn])])
   expect(ledger.records.count).toBe(1)
 })
 
-test('a frame with a wrong checksum ends what is read', () => {
-  const bytes = Buffer.concat([...encodeFrame(record(RecordKind.turn, 'a')), ...encodeFrame(record(RecordKind.turn, 'b'))])
-  const whole = decodeFrames(bytes)
-  expect(whole.records.map(turn => turn.id)).toEqual(['a', 'b'])
+test('decoding stops at a frame with a wrong checksum', () => {
+  const bytes = Buffer.concat([...encodeFrame(createRecord(RecordKind.turn, 'a')), ...encodeFrame(createRecord(RecordKind.turn, 'b'))])
+  const intact = decodeFrames(bytes)
+  expect(intact.records.map(turn => turn.id)).toEqual(['a', 'b'])
   bytes[bytes.length - 1]! ^= 1
   expect(decodeFrames(bytes).records.map(turn => turn.id)).toEqual(['a'])
 })
 
-test('a turn keeps its chain; what nobody continues is forgotten', () => {
+test('the previous turns of a chain stay as long as the latest one, other turns expire', () => {
   const records = new RecordIndex()
-  records.add(record(RecordKind.turn, 'a'))
-  records.add(record(RecordKind.turn, 'lonely'))
-  records.add(record(RecordKind.turn, 'b', { previousId: 'a', recordedAtMs: 50_000 }))
+  records.add(createRecord(RecordKind.turn, 'a'))
+  records.add(createRecord(RecordKind.turn, 'lonely'))
+  records.add(createRecord(RecordKind.turn, 'b', { previousId: 'a', recordedAtMs: 50_000 }))
   records.expire(1000 + 60_000 + 15_001)
-  expect(records.chainOf('b')?.records.map(turn => turn.id)).toEqual(['a', 'b'])
-  expect(records.chainOf('lonely')).toBeNull()
+  expect(records.getChain('b')?.records.map(turn => turn.id)).toEqual(['a', 'b'])
+  expect(records.getChain('lonely')).toBeNull()
   records.expire(50_000 + 60_000 + 15_001)
   expect(records.count).toBe(0)
-  expect(records.accountOf('p')).toEqual([])
+  expect(records.getAccount('p')).toEqual([])
 })
 
-test('an account joins reservations, settlements and turns', () => {
+test('an account merges reservations with their settlements', () => {
   const records = new RecordIndex()
-  records.add(record(RecordKind.reservation, 'r1', { tokens: 100 }))
-  records.add(record(RecordKind.reservation, 'r2', { tokens: 100 }))
-  records.add(record(RecordKind.settlement, 'r1', { tokens: 30 }))
-  expect(records.accountOf('p')).toEqual([
+  records.add(createRecord(RecordKind.reservation, 'r1', { tokens: 100 }))
+  records.add(createRecord(RecordKind.reservation, 'r2', { tokens: 100 }))
+  records.add(createRecord(RecordKind.settlement, 'r1', { tokens: 30 }))
+  expect(records.getAccount('p')).toEqual([
     { id: 'r1', reserved: 100, spent: 30, settled: true },
     { id: 'r2', reserved: 100, spent: 0, settled: false }
   ])
--- a/process/ledger/test/records.test.ts
+++ b/process/ledger/test/records.test.ts
@@ -3,10 +3,10 @@
 import type { LedgerRecord } from '#connection/rpc'
 
 const retentionMs = 10_000
-// What clocks may differ by, as the records allow.
-const slackMs = 15_000
+// The margin that the index adds to a record's retention.
+const marginMs = 15_000
 
-function turn (id: string, previousId: string, recordedAtMs: number): LedgerRecord {
+function createTurn (id: string, previousId: string, recordedAtMs: number): LedgerRecord {
   return {
     kind: RecordKind.turn,
     id,
@@ -21,21 +21,21 @@
   }
 }
 
-const chain = [turn('a', '', 0), turn('b', 'a', 20_000), turn('c', 'b', 40_000)]
-const afterTwoMs = 46_000
-const afterAllMs = 40_000 + retentionMs + slackMs + 1
+const chain = [createTurn('a', '', 0), createTurn('b', 'a', 20_000), createTurn('c', 'b', 40_000)]
+const afterFirstTwoExpireMs = 46_000
+const afterAllExpireMs = 40_000 + retentionMs + marginMs + 1
 
-// A copy from a peer, and a disk whose segments were rewritten, bring records in any order.
+// Records arrive in any order when they are copied from a peer, or read from a disk after a compaction.
 test.each([
-  ['as they came', [0, 1, 2]],
-  ['the latest first', [2, 1, 0]],
-  ['the middle last', [0, 2, 1]],
-  ['the first last', [1, 2, 0]]
-])('turns added %s: the chain stays whole as long as its latest turn', (_, order) => {
+  ['in order', [0, 1, 2]],
+  ['latest first', [2, 1, 0]],
+  ['middle one last', [0, 2, 1]],
+  ['first one last', [1, 2, 0]]
+])('turns added %s: the chain stays complete until its latest turn expires', (_, order) => {
   const records = new RecordIndex()
   for (const i of order) records.add(chain[i]!)
-  records.expire(afterTwoMs)
-  expect(records.chainOf('c')?.records.map(record => record.id)).toEqual(['a', 'b', 'c'])
-  records.expire(afterAllMs)
+  records.expire(afterFirstTwoExpireMs)
+  expect(records.getChain('c')?.records.map(record => record.id)).toEqual(['a', 'b', 'c'])
+  records.expire(afterAllExpireMs)
   expect(records.count).toBe(0)
 })
