--- a/process/quorum/src/quorum.ts
+++ b/process/quorum/src/quorum.ts
@@ -24,7 +24,7 @@
 
 const attemptTimeoutMs = 400
 const retryDelayMs = 40
-/// Time after which a chain query that the nearest member has not answered is sent to the others as well.
+/// Time after which a chain query to the nearest member that has no reply yet is sent to the others as well.
 const hedgeDelayMs = 40
 /// Interval at which members that are down are probed.
 const probeIntervalMs = 200
