--- a/connection/header/src/codec.ts
+++ b/connection/header/src/codec.ts
@@ -84,7 +84,7 @@
 
   /// Throws `InvalidCallError` if the call id or the host is missing or the call id has an invalid length. Other fields
   /// that are missing or malformed count as absent.
-  readCall (head: RequestHead, receivedAtMs: number): Call {
+  parseCall (head: RequestHead, receivedAtMs: number): Call {
     const { names } = this
     const { headers } = head
     const id = firstValue(headers[names.callId])
@@ -111,7 +111,7 @@
     }
   }
 
-  readResponse ({ headers }: ResponseHead): ResponseFields {
+  parseResponse ({ headers }: ResponseHead): ResponseFields {
     const { names } = this
     return {
       callId: firstValue(headers[names.callId]),
--- a/connection/rpc/src/client.ts
+++ b/connection/rpc/src/client.ts
@@ -16,8 +16,8 @@
 export class PeerError extends Error {
   override readonly name = 'PeerError'
 
-  /// `isSilent` is false if the peer replied to other requests in the meantime: it is slow, not unresponsive.
-  constructor (message: string, readonly isSilent = true) {
+  /// `isUnresponsive` is false if the peer replied to other requests in the meantime: it is slow, not unresponsive.
+  constructor (message: string, readonly isUnresponsive = true) {
     super(message)
   }
 }
@@ -153,9 +153,9 @@
     const pending = this.removePending(number)
     if (pending === undefined) return
     const { liveness } = this
-    const isSilent = liveness.lastReplyMs < sentAtMs
-    pending.reject(new PeerError(`${this.address}: request timed out`, isSilent))
-    if (isSilent && ++liveness.consecutiveTimeouts >= timeoutsBeforeReconnect) {
+    const isUnresponsive = liveness.lastReplyMs < sentAtMs
+    pending.reject(new PeerError(`${this.address}: request timed out`, isUnresponsive))
+    if (isUnresponsive && ++liveness.consecutiveTimeouts >= timeoutsBeforeReconnect) {
       liveness.consecutiveTimeouts = 0
       liveness.generation++
     }
--- a/connection/rpc/test/client.test.ts
+++ b/connection/rpc/test/client.test.ts
@@ -48,7 +48,7 @@
     await connection.digest(digest, 5000)
     expect(performance.now() - sentAtMs).toBeLessThan(timeoutMs)
     const failure = await rejection
-    expect([failure.name, failure.isSilent]).toEqual(['PeerError', false])
+    expect([failure.name, failure.isUnresponsive]).toEqual(['PeerError', false])
   })
 
   test('a reply to another request shows that the peer responds, even if the timeout fires late', async () => {
@@ -58,12 +58,12 @@
     await connection.digest(digest, 5000)
     const untilMs = performance.now() + 400
     while (performance.now() < untilMs);
-    expect((await rejection).isSilent).toBe(false)
+    expect((await rejection).isUnresponsive).toBe(false)
   })
 
   test('a peer without any reply is reported as unresponsive, and the next request uses a new connection', async () => {
     const connection = await startServerAndConnect(digestOnlyHandler, createPeer)
-    for (let i = 0; i < 2; i++) expect((await getRejection(connection.append(append, 60))).isSilent).toBe(true)
+    for (let i = 0; i < 2; i++) expect((await getRejection(connection.append(append, 60))).isUnresponsive).toBe(true)
     expect((await connection.digest(digest, 1000)).epoch).toBe('e')
   })
 
@@ -109,6 +109,6 @@
   cleanups.push(() => server.close(), () => pool.close())
   for (let i = 0; i < 4; i++) await pool.digest(digest, 1000)
   proxy.stopForwarding()
-  for (let i = 0; i < 2; i++) expect((await getRejection(pool.digest(digest, 60))).isSilent).toBe(true)
+  for (let i = 0; i < 2; i++) expect((await getRejection(pool.digest(digest, 60))).isUnresponsive).toBe(true)
   for (let i = 0; i < 4; i++) expect((await pool.digest(digest, 1000)).epoch).toBe('e')
 })
--- a/process/entry/src/serve.ts
+++ b/process/entry/src/serve.ts
@@ -36,7 +36,7 @@
   let call: Call | null = null
   let timer: ReturnType<typeof setTimeout> | null = null
   try {
-    call = readCall(exchange, context.codec, receivedAtMs)
+    call = parseCall(exchange, context.codec, receivedAtMs)
     const maxBodyBytes = state.routes?.configuration.callerLimits.maxBodyBytes ?? defaultMaxBodyBytes
     const body = await exchange.readBody(maxBodyBytes)
     const routed = routeCall(call, body, state, controller.signal)
@@ -51,9 +51,9 @@
   }
 }
 
-function readCall (exchange: Exchange, codec: HeaderCodec, receivedAtMs: number): Call {
+function parseCall (exchange: Exchange, codec: HeaderCodec, receivedAtMs: number): Call {
   try {
-    return codec.readCall(exchange.head, receivedAtMs)
+    return codec.parseCall(exchange.head, receivedAtMs)
   } catch (error) {
     if (!(error instanceof InvalidCallError)) throw error
     throw new RefusedError(Refusal.invalid, Verdict.notRun, error.message)
--- a/process/quorum/src/quorum.ts
+++ b/process/quorum/src/quorum.ts
@@ -237,7 +237,7 @@
   }
 
   private recordFailure (state: PeerState, error: unknown): void {
-    if (error instanceof PeerError && !error.isSilent) return
+    if (error instanceof PeerError && !error.isUnresponsive) return
     if (!state.isDown) this.log.event(Events.memberLost, { member: state.member.name, error: formatError(error) })
     state.isDown = true
     this.options.onStaleView()
--- a/request/forward/src/attempt.ts
+++ b/request/forward/src/attempt.ts
@@ -81,7 +81,7 @@
   onHead (head: ResponseHead): void {
     const { call, codec, instance, listener } = this.request
     this.restartIdleTimer()
-    const fields = codec.readResponse(head)
+    const fields = codec.parseResponse(head)
     const problem = findResponseProblem(fields, head, call)
     if (problem !== null) return this.fail(problem)
     if (fields.load !== null) recordLoad(instance, fields.load, performance.now())
