--- a/process/instances/src/instance.ts
+++ b/process/instances/src/instance.ts
@@ -33,7 +33,7 @@
 
 const initialSuspicionMs = 300
 const maxSuspicionMs = 4000
-/// The weight of a load report halves each time this period has passed.
+/// After a load report, the estimate of other processes' calls halves each time this period has passed.
 const loadHalfLifeMs = 400
 const maxCachedParts = 4000
 
--- a/process/instances/src/registry.ts
+++ b/process/instances/src/registry.ts
@@ -15,8 +15,8 @@
   readonly onChange: () => void
 }
 
-/// How long an instance stays in use that is missing after a store outage. Its entry may have expired during the
-/// outage and be restored.
+/// How long an instance that is missing after a store outage stays in use: its entry may have expired during the
+/// outage and may be restored.
 const missingGraceMs = 2000
 
 /// The upstream instances that are listed in the platform's store.
--- a/process/placement/src/choice.ts
+++ b/process/placement/src/choice.ts
@@ -15,7 +15,8 @@
   readonly excluded: ReadonlySet<string>
   /// The instance that ran the previous turn; null if there is none or it is unknown.
   readonly previousInstanceId: string | null
-  /// False for a program's first turn as long as no instance has been sent it, true for all other calls.
+  /// False for a program's first turn until it has been sent to an instance, true for all other calls. Entries
+  /// recognize the first turn only of programs with a token budget; for others it is always true.
   readonly isContinuing: boolean
   /// How long the call may wait for a lease before it is refused.
   readonly maxWaitMs: number
@@ -75,5 +76,5 @@
   return total - cached
 }
 
-/// Usual share of the conversation so far in a prompt. The instance of the previous turn has it cached.
+/// Share of a prompt that the history usually makes up. The instance that ran the previous turn has it cached.
 const historyShare = 0.9
--- a/process/placement/src/placement.ts
+++ b/process/placement/src/placement.ts
@@ -9,7 +9,7 @@
 /// The right to run one call on an instance, held until it is released.
 export interface InstanceLease {
   readonly instance: Instance
-  /// Only the first call has an effect.
+  /// Releasing the lease again has no effect.
   release (): void
 }
 
@@ -25,10 +25,10 @@
 const overloadedRetryAfterMs = 150
 /// Calls that don't fit into the queue are refused immediately.
 const maxQueueLength = 400
-/// Aging: a queued call gains one rank of urgency each time this interval has passed.
+/// Aging: the rank of a queued call falls by one for each such interval that it has waited; the lowest is placed first.
 const agingIntervalMs = 400
-/// Ranks by which the first turn of a program comes after turns of running programs: a program earns its credit
-/// only when it completes, so those that have started are completed first.
+/// Added to the rank of a program's first turn: a program has value only when it completes, so those that have
+/// started are completed first.
 const newProgramRankPenalty = 1
 /// New programs start only on instances that use less than this share of their slots. The rest is reserved for
 /// turns of programs that are running.
@@ -91,7 +91,7 @@
       const entry = { request, queuedAtMs: nowMs, resolve, reject }
       this.queue.push(entry)
       signal.addEventListener('abort', () => {
-        if (this.dequeue(entry)) reject(new RefusedError(Refusal.timedOut, Verdict.notRun, 'aborted while queued for an instance'))
+        if (this.dequeue(entry)) reject(new RefusedError(Refusal.timedOut, Verdict.notRun, 'caller disconnected or deadline passed while queued for an instance'))
       }, { once: true })
       this.timer ??= setInterval(() => this.processQueue(), queueIntervalMs)
     })
@@ -172,7 +172,7 @@
   return new RefusedError(
     Refusal.noInstance,
     Verdict.notRun,
-    `service ${service} has no ready instance that this call has not tried`,
+    `no ready instance of service ${service} is left to try`,
     noInstanceRetryAfterMs
   )
 }
--- a/process/placement/test/placement.test.ts
+++ b/process/placement/test/placement.test.ts
@@ -115,9 +115,9 @@
 
 test('a call aborted in the queue is removed from it and refused as not run', async () => {
   await acquireAll()
-  const stop = new AbortController()
-  const waiting = placement.acquire(createRequest('x3'), stop.signal).catch((error: unknown) => error)
-  stop.abort()
+  const controller = new AbortController()
+  const waiting = placement.acquire(createRequest('x3'), controller.signal).catch((error: unknown) => error)
+  controller.abort()
   expect(await waiting).toMatchObject({ verdict: 'not-run' })
   expect(placement.queueLength).toBe(0)
 })
@@ -136,7 +136,7 @@
 })
 
 test.each<[string, (a: Instance, b: Instance) => void, Partial<PlacementRequest>, string]>([
-  ['the instance in the own zone if all else is equal', () => {}, {}, 'a'],
+  ['the instance in the same zone if all else is equal', () => {}, {}, 'a'],
   ['the less loaded instance', a => { a.running = 3 }, {}, 'b'],
   ['the instance that ran the previous turn', () => {}, { previousInstanceId: 'b' }, 'b']
 ])('chooses %s', (_, prepare, fields, expected) => {
--- a/request/call/src/call.ts
+++ b/request/call/src/call.ts
@@ -1,4 +1,4 @@
-/// One attempt of a caller at a request, as read from its head.
+/// One attempt of a caller at a request, as parsed from the request head.
 export interface Call {
   /// Unique to this attempt; upstream instances repeat it in the response.
   readonly id: string
@@ -43,7 +43,7 @@
   readonly tokens: number
 }
 
-/// Thrown if a call's headers are missing or malformed. The message names the problem.
+/// Thrown if a required header of a call is missing or malformed. The message names the problem.
 export class InvalidCallError extends Error {
   override readonly name = 'InvalidCallError'
 }
--- a/request/call/src/refusal.ts
+++ b/request/call/src/refusal.ts
@@ -1,6 +1,7 @@
 import { Verdict } from './verdict.js'
 
-/// Why a call ends without a complete upstream response. Sent to callers as the error code.
+/// Why the system ends a call without passing on a complete response. The value is the error code that callers
+/// receive.
 export const Refusal = {
   invalid: 'invalid',
   bodyTooLarge: 'body-too-large',
@@ -27,7 +28,7 @@
     readonly refusal: Refusal,
     readonly verdict: Verdict,
     message: string,
-    /// How long to wait before a retry; 0 if unknown.
+    /// How long the caller should wait before a retry; 0 if unknown.
     readonly retryAfterMs = 0
   ) {
     super(message)
@@ -56,4 +57,5 @@
   internal: 503
 }
 
+/// For the verdicts `mayHaveRun` and `ran`. The status of all other refusals is 502.
 const mayHaveRunStatus: Partial<Record<Refusal, number>> = { 'timed-out': 504 }
--- a/request/forward/src/attempt.ts
+++ b/request/forward/src/attempt.ts
@@ -19,10 +19,11 @@
   /// The attempt failed after the call was sent, so it may have run.
   | { readonly kind: 'broken', readonly reason: string }
 
-/// Receives the response to an attempt if it is an event stream.
+/// Receives the response to an attempt if it is an event stream. An exception from `onHead` or `onData` fails the
+/// attempt.
 export interface StreamListener {
-  /// Throws if the stream doesn't continue what the caller has received so far; so does `onData`.
   onHead (head: ResponseHead): void
+  /// Throws if the stream doesn't continue what the caller has received so far.
   onData (chunk: Buffer): void
   /// Whether the stream may end here, that is, not within an event.
   isComplete (): boolean
@@ -33,6 +34,7 @@
   readonly instance: Instance
   readonly codec: HeaderCodec
   readonly body: Buffer
+  /// Time until the call's deadline, for the instance.
   readonly remainingMs: number
   /// Id of the last event that the caller has received, -1 for none.
   readonly lastEventId: number
--- a/request/forward/src/dispatcher.ts
+++ b/request/forward/src/dispatcher.ts
@@ -23,8 +23,9 @@
   readonly details: Readonly<Record<string, unknown>>
 }
 
+/// Limit on attempts of which nothing was sent. They don't count toward the route's `maxInstances`.
 const maxUnsentAttempts = 4
-const failedRetryAfterMs = 100
+const upstreamFailedRetryAfterMs = 100
 
 /// Sends one call to one or more instances. Tracks which instances were used,
 /// whether the call may have run and whether it may be retried.
@@ -70,7 +71,8 @@
     return result
   }
 
-  /// Whether the call may be retried on another instance. A call that may have run is retried only if `mayRunTwice`.
+  /// Whether the call may be retried on another instance, given the result of its last attempt. A call that may have
+  /// run is retried only if `mayRunTwice`.
   mayRetry (result: AttemptResult, mayRunTwice: boolean): boolean {
     if (this.routed.signal.aborted) return false
     if (result.kind === 'unsent') return this.unsentCount < maxUnsentAttempts
@@ -89,7 +91,7 @@
       Refusal.upstreamFailed,
       verdict,
       `no usable response from upstream: ${this.sentCount} attempts sent, ${this.unsentCount} not sent${reason}`,
-      failedRetryAfterMs
+      upstreamFailedRetryAfterMs
     )
   }
 
@@ -111,13 +113,13 @@
   }
 }
 
-/// Returns why an attempt ended as it did, for the log.
+/// Returns why an attempt ended as it did, for logs and error messages.
 export function getReason (result: AttemptResult): string | number {
   if (result.kind === 'unsent' || result.kind === 'broken') return result.reason
   return result.kind === 'not-run' ? result.status : result.kind
 }
 
-/// Returns the verdict on a call that ends without a response.
+/// Returns the verdict on a call that ends without a complete response.
 export function getVerdict (mayHaveRun: boolean): Verdict {
   return mayHaveRun ? Verdict.mayHaveRun : Verdict.notRun
 }
--- a/request/forward/src/stream.ts
+++ b/request/forward/src/stream.ts
@@ -10,19 +10,19 @@
 import type { CallerResponse, ForwardContext, RoutedCall } from './context.js'
 import { CallDispatcher, getReason, getVerdict } from './dispatcher.js'
 
-const storeTimeoutMs = 1500
+const storeTurnTimeoutMs = 1500
 /// A resumable stream that sends no data for this long is resumed on another instance.
 const streamIdleTimeoutMs = 900
 /// Share of its remaining time that a turn of a running program may wait for an instance.
 const maxWaitShare = 0.25
-/// Share of the target latency that the first turn of a program may wait for an
+/// Share of the latency target that the first turn of a program may wait for an
 /// instance. A program that is refused early can be started later; one that
-/// runs too late uses capacity without earning credit.
+/// completes too late uses capacity but has no value.
 const newProgramWaitShare = 0.1
 const lineFeed = Buffer.from('\n')
 
-/// Serves a call whose response is an event stream. Rejects with `RefusedError`;
-/// if the response has started by then, it must be aborted.
+/// Serves a call whose response is an event stream. Rejects with `RefusedError`.
+/// A response that has started by then must be aborted by the function's caller.
 export async function serveStream (
   routed: RoutedCall,
   response: CallerResponse,
@@ -46,7 +46,7 @@
   }
 }
 
-/// Reads the previous turns and reserves tokens from the budget at the same time.
+/// Reads the history and concurrently reserves tokens from the budget.
 async function prepareTurn (
   routed: RoutedCall,
   maxTokens: number,
@@ -138,7 +138,7 @@
       this.deliveredTokens,
       this.instanceId
     )
-    const timeoutMs = Math.min(storeTimeoutMs, routed.deadlineMs - performance.now())
+    const timeoutMs = Math.min(storeTurnTimeoutMs, routed.deadlineMs - performance.now())
     const startedAtMs = performance.now()
     try {
       await context.ledger.append([record], timeoutMs)
--- a/request/forward/src/unary.ts
+++ b/request/forward/src/unary.ts
@@ -5,8 +5,8 @@
 import type { CallerResponse, ForwardContext, RoutedCall } from './context.js'
 import { CallDispatcher, getReason, getVerdict } from './dispatcher.js'
 
-/// An idempotent call that receives no data for this multiple of its target latency is retried on another instance.
-const idleTimeoutPerTargetLatency = 4
+/// An idempotent call that receives no data for this multiple of its latency target is retried on another instance.
+const idleTimeoutFactor = 4
 const minIdleTimeoutMs = 250
 /// Share of its remaining time that a call may wait for an instance before it is refused.
 const maxWaitShare = 0.6
@@ -26,7 +26,7 @@
     if (lease === null) break
     const hasAlternative = isIdempotent && dispatcher.sentCount + 1 < route.maxInstances
     const idleTimeoutMs = hasAlternative
-      ? Math.max(minIdleTimeoutMs, route.targetLatencyMs * idleTimeoutPerTargetLatency)
+      ? Math.max(minIdleTimeoutMs, route.targetLatencyMs * idleTimeoutFactor)
       : 0
     const { body } = routed
     const result = await dispatcher.send(lease, {
@@ -54,7 +54,8 @@
   else throw dispatcher.toError(getVerdict(dispatcher.mayHaveRun), null)
 }
 
-/// Resolves to null if no instance can take a retry, so that the call ends with the outcome of earlier attempts.
+/// Resolves to null if no instance can take a retry and an earlier attempt returned a response or may have run the
+/// call: the call then ends with that outcome.
 async function acquireLease (
   routed: RoutedCall,
   dispatcher: CallDispatcher,
--- a/request/turn/src/history.ts
+++ b/request/turn/src/history.ts
@@ -8,11 +8,11 @@
 import { createRecord } from './ledger.js'
 import type { TurnLedger } from './ledger.js'
 
-const findTimeoutMs = 900
+const findChainTimeoutMs = 900
 const ledgerRetryAfterMs = 250
 
 /// Reads the history of a call, oldest turn first; empty for the first turn.
-/// Rejects with `RefusedError`: `unknownTurn` only if the turn is certainly absent.
+/// Rejects with `RefusedError`: `unknownTurn` only if the previous turn is certainly not stored.
 export async function readHistory (
   call: Call,
   ledger: TurnLedger,
@@ -29,7 +29,7 @@
 async function findChain (turnId: string, ledger: TurnLedger): Promise<readonly LedgerRecord[]> {
   let chain: LedgerRecord[] | null
   try {
-    chain = await ledger.findChain(turnId, findTimeoutMs)
+    chain = await ledger.findChain(turnId, findChainTimeoutMs)
   } catch (error) {
     throw new RefusedError(Refusal.ledgerUnavailable, Verdict.notRun, formatError(error), ledgerRetryAfterMs)
   }
@@ -43,7 +43,6 @@
   return Buffer.concat([...history.flatMap(turn => [turn.input, turn.output]), input])
 }
 
-/// Creates the ledger record of a turn.
 export function createTurnRecord (
   call: Call,
   route: Route,
--- a/request/turn/src/ledger.ts
+++ b/request/turn/src/ledger.ts
@@ -1,11 +1,15 @@
 import type { AccountEntry, LedgerRecord } from '#connection/rpc'
 
-/// The ledger operations that turns need; `LedgerQuorum` implements them.
+/// The ledger operations that turns need; `LedgerQuorum` implements them. They reject if too few
+/// storage instances reply in time.
 export interface TurnLedger {
+  /// Resolves once the records are committed.
   append (records: readonly LedgerRecord[], timeoutMs: number): Promise<void>
+  /// Resolves, once the reservation is committed, to the account of its program.
   reserve (reservation: LedgerRecord, timeoutMs: number): Promise<AccountEntry[]>
   /// Resolves to all reservations and settlements that were stored before the read began.
   readAccount (programId: string, timeoutMs: number): Promise<AccountEntry[]>
+  /// Resolves to the turn's chain, oldest first; null if the turn is certainly not stored.
   findChain (turnId: string, timeoutMs: number): Promise<LedgerRecord[] | null>
 }
 
--- a/request/turn/src/tokenreservation.ts
+++ b/request/turn/src/tokenreservation.ts
@@ -36,9 +36,10 @@
     private readonly retentionMs: number
   ) {}
 
-  /// Reserves the most that the turn may generate. Resolves to null if the
-  /// program has no budget. Rejects with `RefusedError` if the budget is used up
-  /// or if the program's account can't be read.
+  /// Reserves the most that the turn may generate. Resolves to null if the call
+  /// belongs to no program or its program has no budget. Rejects with
+  /// `RefusedError` if other turns have used up the budget or if the program's
+  /// account can't be read.
   static async acquire (
     call: Call,
     route: Route,
@@ -58,7 +59,7 @@
     reservation.hasOtherTurns = otherTokens > 0
     if (otherTokens > 0 && otherTokens >= budget) {
       reservation.settle(0)
-      throw new RefusedError(Refusal.budgetSpent, Verdict.notRun, `${otherTokens} of ${budget} tokens are spent or reserved`)
+      throw new RefusedError(Refusal.budgetSpent, Verdict.notRun, `${otherTokens} of ${budget} tokens are spent or reserved by other turns of the program`)
     }
     return reservation
   }
