--- a/process/placement/test/placement.test.ts
+++ b/process/placement/test/placement.test.ts
@@ -86,7 +86,9 @@
     instance(id).running = 6
   }
   let outcome = 'waits'
-  placement.acquire(createRequest('x', { isContinuing, maxWaitMs: 25 }), signal).then(() => { outcome = 'placed' }, error => {
+  placement.acquire(createRequest('x', { isContinuing, maxWaitMs: 25 }), signal).then(() => {
+    outcome = 'placed'
+  }, error => {
     expect(error).toMatchObject({ refusal: 'overloaded', verdict: 'not-run', status: 503 })
     outcome = 'refused'
   })
@@ -110,7 +112,9 @@
 
 test('a call is refused immediately if every instance is excluded', async () => {
   const excluded = new Set(['a', 'b'])
-  await expect(placement.acquire(createRequest('x', { excluded }), signal)).rejects.toMatchObject({ refusal: 'no-instance' })
+  await expect(placement.acquire(createRequest('x', { excluded }), signal)).rejects.toMatchObject({
+    refusal: 'no-instance'
+  })
 })
 
 test('a call aborted in the queue is removed from it and refused as not run', async () => {
--- a/request/forward/src/stream.ts
+++ b/request/forward/src/stream.ts
@@ -107,7 +107,7 @@
         return true
       }
       if (result.kind === 'answer') {
-        if (response.hasStarted) throw this.createUpstreamError('resuming the stream returned a response that is not a stream')
+        if (response.hasStarted) throw this.createUpstreamError('response to the resumption is not an event stream')
         response.respond(result.head, result.body)
         return false
       }
--- a/request/turn/src/tokenreservation.ts
+++ b/request/turn/src/tokenreservation.ts
@@ -59,7 +59,11 @@
     reservation.hasOtherTurns = otherTokens > 0
     if (otherTokens > 0 && otherTokens >= budget) {
       reservation.settle(0)
-      throw new RefusedError(Refusal.budgetSpent, Verdict.notRun, `${otherTokens} of ${budget} tokens are spent or reserved by other turns of the program`)
+      throw new RefusedError(
+        Refusal.budgetSpent,
+        Verdict.notRun,
+        `${otherTokens} of ${budget} tokens are spent or reserved by other turns of the program`
+      )
     }
     return reservation
   }
