--- a/process/ledger/src/disk.ts
+++ b/process/ledger/src/disk.ts
@@ -11,7 +11,7 @@
 /// The contents of a disk when it was opened.
 export interface DiskContents {
   readonly records: readonly { readonly record: LedgerRecord, readonly segment: number }[]
-  /// The disk held neither records nor an identity.
+  /// The disk held neither records nor a valid disk ID.
   readonly wasEmpty: boolean
 }
 
@@ -151,7 +151,7 @@
   return { frames: [], synced, resolve, reject }
 }
 
-/// Encodes a record as stored on disk: length and CRC-32, 4 bytes each, then the message.
+/// Encodes a record as stored on disk: length and CRC-32, 4 bytes each, then the protobuf message.
 export function encodeFrame (record: LedgerRecord): [Buffer, Buffer] {
   const body = Buffer.from(LedgerRecord.encode(record).finish())
   const header = Buffer.allocUnsafe(frameHeaderBytes)
--- a/process/ledger/src/ledger.ts
+++ b/process/ledger/src/ledger.ts
@@ -13,15 +13,16 @@
 /// before an append is acknowledged. Handles the requests of the ledger protocol.
 export class Ledger implements LedgerHandler {
   readonly records = new RecordIndex()
-  /// Identifies the order of arrival in this process, in which digests list the keys.
+  /// Identifies this process's order of arrival. The cursors of digests are positions in it.
   private readonly epoch = randomBytes(6).toString('hex')
   /// The newest view that this instance has adopted.
   private view: View = emptyView
   /// Syncs in flight by record key: a repeated append waits for the first one.
   private readonly pendingSyncs = new Map<string, Promise<unknown>>()
-  /// Set once a write fails. The contents of the disk are uncertain from then on, so later appends are rejected.
+  /// Set once `persist` fails to write. The contents of the disk are uncertain from
+  /// then on, so later appends are rejected.
   private failure: Error | null = null
-  /// Called when a write to the disk fails.
+  /// Called when `persist` fails to write to the disk.
   onFailure: (error: Error) => void = () => {}
 
   constructor (private readonly disk: Disk, contents: DiskContents) {
@@ -68,7 +69,7 @@
     return { standing: this.createStanding(Number.MAX_SAFE_INTEGER), records }
   }
 
-  /// Adds the records that are absent, and resolves once all of them are synced.
+  /// Adds those of the records that are absent, and resolves once all of the records are synced.
   async persist (records: readonly LedgerRecord[]): Promise<void> {
     if (this.failure !== null) throw this.failure
     const added = records.flatMap(record => this.records.add(record) ?? [])
--- a/process/ledger/src/records.ts
+++ b/process/ledger/src/records.ts
@@ -4,7 +4,7 @@
 /// A record with its expiry and its place on disk.
 export interface IndexedRecord {
   readonly record: LedgerRecord
-  /// The end of the record's own retention, or of a later turn's that needs it.
+  /// The end of the record's own retention, or of that of a later turn in its chain if this is later.
   expiresAtMs: number
   /// The disk segment that holds the record, -1 until it has been written to one.
   segment: number
@@ -18,7 +18,7 @@
 export class RecordIndex {
   private readonly byKey = new Map<string, IndexedRecord>()
   private readonly accounts = new Map<string, Map<string, AccountEntry>>()
-  /// When turns expire that are absent here but needed by later turns of their chain, by key.
+  /// Expiry times, by key, of turns that are absent here but that later turns of their chain need.
   private readonly absentTurnExpiryMs = new Map<string, number>()
   private arrivalKeys: string[] = []
   /// Cursor of the first element of `arrivalKeys`.
@@ -141,6 +141,8 @@
   return `${RecordKind.turn}/${id}`
 }
 
+/// The records of one call share its ID. A turn's record has the delivered tokens,
+/// and so settles the call's reservation as a settlement does.
 function createAccountEntry (record: LedgerRecord): AccountEntry {
   if (record.kind === RecordKind.reservation) {
     return {
--- a/process/ledger/test/disk.test.ts
+++ b/process/ledger/test/disk.test.ts
@@ -37,7 +37,7 @@
   ['a truncated tail', (path: string) => truncateSync(path, statSync(path).size - 3)],
   ['garbage after the records', (path: string) => appendFileSync(path, Buffer.from([9, 0, 0, 0, 1, 2, 3, 4, 5]))],
   ['zeros after the records', (path: string) => appendFileSync(path, Buffer.alloc(4096))]
-])('with %s at most the last record is lost, and later appends persist', async (_, damage) => {
+])('with %s at most the last record is lost, and later appends are persisted', async (_, damage) => {
   const first = reopen()
   await first.persist([createRecord(RecordKind.turn, 't1')])
   await first.persist([createRecord(RecordKind.turn, 't2')])
--- a/process/membership/src/view.ts
+++ b/process/membership/src/view.ts
@@ -19,11 +19,11 @@
 
 /// The members whose replies count in one view, as disk IDs, and how many of them are needed.
 export interface Quorums {
-  /// Members whose appends count.
+  /// Members that count towards the append quorum.
   readonly appendVoters: ReadonlySet<string>
   /// Number of append voters that must have persisted a record for it to be committed.
   readonly appendQuorum: number
-  /// Members whose accounts and replies that a turn is absent count.
+  /// Members that count towards the absence and account quorums.
   readonly readVoters: ReadonlySet<string>
   /// Number of read voters that must lack a turn to rule out that it was committed.
   readonly absenceQuorum: number
@@ -66,7 +66,7 @@
 
 /// Adds a storage instance, or replaces its disk or address. A new disk starts
 /// as joining, except for a new member at the system's first start, which serves
-/// at once. Returns the view itself if nothing changes, as the functions below do.
+/// at once. Like the other `with` functions, returns the view itself if nothing changes.
 export function withMember (view: View, joined: Omit<Member, 'state' | 'replacement' | 'syncedView'>, isFirstStart: boolean): View {
   const existing = view.members.find(member => member.name === joined.name)
   if (existing !== undefined && existing.diskId === joined.diskId) {
@@ -95,9 +95,9 @@
   return { ...updated, leaveVersion: updated.version }
 }
 
-/// Records that a member holds all that its peers held under the view version
-/// `syncedView`. Removes the leaving members once every serving one has synced
-/// at or after `leaveVersion`.
+/// Sets the `syncedView` of a member that holds all that its peers held under
+/// that view version. Removes the leaving members once every serving one has
+/// synced at `leaveVersion` or later.
 export function withSynced (view: View, diskId: string, syncedView: number): View {
   const member = view.members.find(other => other.diskId === diskId)
   if (member === undefined || member.syncedView >= syncedView) return view
@@ -115,8 +115,8 @@
   return remaining.length >= toleratedLosses + 1
 }
 
-/// Whether the serving members that are present, not counting `diskId`, are as
-/// many as a system of full size has.
+/// Whether the serving members that are present, without `diskId`, are at least
+/// `2 * toleratedLosses + 1`, the full size of a system.
 export function canEvict (
   view: View,
   diskId: string,
--- a/process/membership/test/view.test.ts
+++ b/process/membership/test/view.test.ts
@@ -23,7 +23,7 @@
   const leaving = withLeaving(joinMember(createView('a', 'b', 'c'), 'd'), 'a')
   test.each([
     ['three serving members', createView('a', 'b', 'c'), 1, { appendVoters: 3, appendQuorum: 2, readVoters: 3, absenceQuorum: 2, accountQuorum: 2 }],
-    ['a replaced disk counts for appends only', replaced, 1, { appendVoters: 3, appendQuorum: 2, readVoters: 2, absenceQuorum: 2, accountQuorum: 2 }],
+    ['the replacement of a lost disk counts for appends only', replaced, 1, { appendVoters: 3, appendQuorum: 2, readVoters: 2, absenceQuorum: 2, accountQuorum: 2 }],
     ['a joining fourth member does not count', added, 1, { appendVoters: 3, appendQuorum: 2, readVoters: 3, absenceQuorum: 2, accountQuorum: 2 }],
     ['a leaving member of four counts for reads only', leaving, 1, { appendVoters: 3, appendQuorum: 2, readVoters: 4, absenceQuorum: 3, accountQuorum: 3 }],
     ['nine serving members, two tolerated losses', createView(...'abcdefghi'), 2, { appendVoters: 9, appendQuorum: 3, readVoters: 9, absenceQuorum: 7, accountQuorum: 5 }]
@@ -53,7 +53,7 @@
 })
 
 describe('view changes', () => {
-  test('at the first start new members serve at once, later a new disk joins', () => {
+  test('a new member serves at once at the first start; a replaced disk and a later member join first', () => {
     expect(createView('a', 'b').members.map(member => member.state)).toEqual(['serving', 'serving'])
     expect(findMember(joinMember(createView('a', 'b'), 'a', 'a2', true), 'a')).toMatchObject({ state: 'joining', replacement: true })
     expect(findMember(joinMember(createView('a', 'b'), 'c', 'c', false), 'c')).toMatchObject({ state: 'joining', replacement: false })
@@ -73,12 +73,12 @@
     expect(findMember(withServing(replaced, 'a2'), 'a')).toMatchObject({ state: MemberState.serving, replacement: false })
   })
 
-  test('a leaving member is removed once every other one has synced', () => {
+  test('a leaving member is removed once every serving one has synced', () => {
     const leaving = withLeaving(createView('a', 'b', 'c'), 'a')
-    const one = withSynced(leaving, 'b', leaving.leaveVersion)
-    expect(one.members.map(member => member.name)).toEqual(['a', 'b', 'c'])
-    const both = withSynced(one, 'c', leaving.leaveVersion)
-    expect(both.members.map(member => member.name)).toEqual(['b', 'c'])
+    const oneSynced = withSynced(leaving, 'b', leaving.leaveVersion)
+    expect(oneSynced.members.map(member => member.name)).toEqual(['a', 'b', 'c'])
+    const bothSynced = withSynced(oneSynced, 'c', leaving.leaveVersion)
+    expect(bothSynced.members.map(member => member.name)).toEqual(['b', 'c'])
   })
 
   test('a member can be evicted only while enough others are present', () => {
--- a/process/quorum/src/quorum.ts
+++ b/process/quorum/src/quorum.ts
@@ -24,7 +24,7 @@
 
 const attemptTimeoutMs = 400
 const retryDelayMs = 40
-/// Time after which a chain query to the nearest member that has no reply yet is sent to the others as well.
+/// A chain query goes to the nearest member first, and to the others if there is no reply within this time.
 const hedgeDelayMs = 40
 /// Interval at which members that are down are probed.
 const probeIntervalMs = 200
@@ -32,7 +32,8 @@
 interface PeerState {
   member: Member
   readonly peer: LedgerPeer
-  /// Set when the member is found unresponsive, cleared by its next reply. A slow member isn't down.
+  /// Set by a failed request, cleared by the next reply. A request that times out
+  /// while the member replies to others does not count: the member is slow, not down.
   isDown: boolean
 }
 
@@ -69,7 +70,8 @@
   }
 
   /// Whether enough members seem to be up to commit an append. While it is
-  /// false, reservations and reads fail at once instead of waiting for their timeout.
+  /// false, reservations and reads fail at once instead of waiting for their
+  /// timeout, unless no member of the view is down: then the view is out of date.
   get isAvailable (): boolean {
     const up = this.peers.filter(state => !state.isDown && this.quorums.appendVoters.has(state.member.diskId))
     return up.length >= this.quorums.appendQuorum
@@ -111,8 +113,8 @@
   }
 
   /// Resolves to a turn's complete chain, oldest first, or to null once a quorum
-  /// rules out that the turn was committed. Queries the nearest member first,
-  /// and all of them if it does not settle the question within `hedgeDelayMs`.
+  /// rules out that the turn was committed. Queries the nearest member first, and
+  /// the others as soon as it replies without the chain, or after `hedgeDelayMs`.
   async findChain (turnId: string, timeoutMs: number): Promise<LedgerRecord[] | null> {
     const candidates = this.peersByPreference()
     this.assertAvailable()
@@ -136,7 +138,7 @@
     if (chain !== null) return chain
     if (countVoters(absent, this.quorums.readVoters) >= this.quorums.absenceQuorum) return null
     this.log.event(Events.quorumMissed, { of: 'chain', turnId, absent: absent.size, viewVersion: this.view.version })
-    throw new QuorumError(`turn not found, absent on only ${absent.size} of ${this.quorums.absenceQuorum} required storage instances`)
+    throw new QuorumError(`turn neither found nor ruled out: absent on ${absent.size} storage instances, a quorum needs ${this.quorums.absenceQuorum}`)
   }
 
   close (): void {
@@ -145,7 +147,8 @@
   }
 
   /// Sends an append to all members, with retries, and resolves once the replies
-  /// form a quorum. Requests to slower members go on in the background.
+  /// form a quorum. Without records it only reads the account of program
+  /// `accountOf`. Requests to slower members go on in the background.
   private async collect (
     records: readonly LedgerRecord[],
     accountOf: string,
@@ -169,7 +172,7 @@
       answered: replies.size,
       viewVersion: this.view.version
     })
-    throw new QuorumError(`append quorum missed: ${replies.size} storage instances replied in time`)
+    throw new QuorumError(`too few replies for a quorum: ${replies.size} storage instances replied in time`)
   }
 
   /// Calls `send` for every member, including those that a newer view in a reply
@@ -226,7 +229,8 @@
     }
   }
 
-  /// Marks the member as up, adopts a newer view from its reply, and reports a stale view if another disk replied.
+  /// Marks the member as up, adopts a newer view from its reply, and reports a
+  /// stale view if the reply came from another disk than the member's.
   private handleStanding (state: PeerState, standing: Standing): void {
     if (state.isDown) {
       state.isDown = false
--- a/process/quorum/test/quorum.test.ts
+++ b/process/quorum/test/quorum.test.ts
@@ -81,21 +81,21 @@
     members.push({ name, diskId: disk.diskId, address, zone: name, state: 'serving', replacement: false, syncedView: 0 })
   }
   for (const ledger of ledgers) ledger.adoptView({ version: 9, members, leaveVersion: 0 })
-  const stale = new LedgerQuorum({ zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => {} }, noopLog)
-  stale.adoptView({ version: 8, members: members.slice(0, 1), leaveVersion: 0 }, 'test')
-  await stale.append([createRecord(RecordKind.turn, 't1')], 900)
+  const staleQuorum = new LedgerQuorum({ zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => {} }, noopLog)
+  staleQuorum.adoptView({ version: 8, members: members.slice(0, 1), leaveVersion: 0 }, 'test')
+  await staleQuorum.append([createRecord(RecordKind.turn, 't1')], 900)
   expect(ledgers.filter(ledger => ledger.records.count === 1).length).toBeGreaterThan(1)
-  stale.close()
+  staleQuorum.close()
 })
 
 test('a view with too few members is reported as stale without any request', async () => {
-  let refreshes = 0
-  const stale = new LedgerQuorum({
-    zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => { refreshes++ }
+  let staleReports = 0
+  const staleQuorum = new LedgerQuorum({
+    zone: 'a', toleratedLosses: 1, connect: address => new LedgerConnection(address), onStaleView: () => { staleReports++ }
   }, noopLog)
-  stale.adoptView({ ...view, members: view.members.slice(0, 1) }, 'test')
-  expect(stale.isAvailable).toBe(false)
+  staleQuorum.adoptView({ ...view, members: view.members.slice(0, 1) }, 'test')
+  expect(staleQuorum.isAvailable).toBe(false)
   await new Promise(resolve => setTimeout(resolve, 500))
-  expect(refreshes).toBeGreaterThan(0)
-  stale.close()
+  expect(staleReports).toBeGreaterThan(0)
+  staleQuorum.close()
 })
--- a/process/storage/src/copier.ts
+++ b/process/storage/src/copier.ts
@@ -21,7 +21,8 @@
   constructor (private readonly peer: LedgerPeer, private readonly ledger: Ledger) {}
 
   /// Copies what has arrived at the peer since the previous pass. Resolves to the
-  /// complete pass and the number of copied records; rejects with `PeerError`.
+  /// complete pass and the number of copied records. Rejects with `PeerError`, or
+  /// with the error of a failed write to this instance's disk.
   async runPass (viewVersion: number): Promise<{ pass: CompletedPass, copied: number }> {
     let copied = 0
     let startViewVersion = -1
--- a/process/storage/src/membership.ts
+++ b/process/storage/src/membership.ts
@@ -23,11 +23,11 @@
 const retirementWatchWaitMs = 10_000
 const watchPauseMs = 50
 const reconcileIntervalMs = 400
-/// Delay between two copy passes over a peer while this member is complete.
+/// Delay between two copy passes over a peer, unless this member is catching up.
 const steadyCopyDelayMs = 2000
-/// Delay between two copy passes over a peer while this member lacks records.
+/// Delay between two copy passes over a peer while this member is catching up.
 const catchUpCopyDelayMs = 100
-/// A member that could not be reached for this long may be evicted.
+/// A peer that could not be reached for this long may be evicted.
 const evictionTimeoutMs = 5000
 /// A peer that was last reached within this time counts as present.
 const presenceTimeoutMs = 4500
@@ -67,8 +67,8 @@
   ) {}
 
   start (): void {
-    const views = { kind: ObjectKind.storageViews, waitMs: viewWatchWaitMs, pauseMs: watchPauseMs }
-    this.stopWatches.push(watchObject(this.store, views, viewObjectName, object => this.onView(object), this.log))
+    const viewWatch = { kind: ObjectKind.storageViews, waitMs: viewWatchWaitMs, pauseMs: watchPauseMs }
+    this.stopWatches.push(watchObject(this.store, viewWatch, viewObjectName, object => this.onView(object), this.log))
     this.stopWatches.push(watchObjects(this.store, {
       kind: ObjectKind.retirements,
       waitMs: retirementWatchWaitMs,
@@ -146,7 +146,7 @@
     if (this.hasReadView && !this.isWriting && nowMs >= this.nextWriteMs) this.proposeChange(nowMs)
   }
 
-  /// Writes the first change of the view that is due, if any; otherwise reports retirements.
+  /// Writes the next change of the view, if one is due; otherwise reports retirements.
   private proposeChange (nowMs: number): void {
     const next = this.computeNextView(nowMs)
     if (next !== this.view) this.startWrite(next)
@@ -236,7 +236,8 @@
     if (object.revision > this.revision) this.adoptView(next, object.revision)
   }
 
-  /// A write that failed without a response may have been applied; the watch reports it then.
+  /// A write that failed without a response may have been applied all the same;
+  /// the watch then delivers the new view.
   private recordWriteFailure (error: unknown): void {
     this.nextWriteMs = performance.now() + writeRetryDelayMs
     this.log.event(Events.storeWriteFailed, { kind: ObjectKind.storageViews, error: formatError(error) })
@@ -293,6 +294,7 @@
     })
   }
 
+  /// Whether this member may lack records that it needs to serve, or that only a leaving member holds.
   private isCatchingUp (): boolean {
     const ownMember = this.view.members.find(member => member.diskId === this.ledger.diskId)
     return ownMember?.state !== MemberState.serving || ownMember.syncedView < this.view.leaveVersion
--- a/process/storage/test/budget.test.ts
+++ b/process/storage/test/budget.test.ts
@@ -29,7 +29,7 @@
 }
 
 let cluster: Cluster
-let calls = 0
+let callCount = 0
 
 beforeEach(async () => {
   useFakeClock()
@@ -42,7 +42,7 @@
 })
 
 function createTurnCall (tokenBudget: number): Call {
-  return createCall(`c${++calls}`, { program: { id: 'p', sessionId: 's', remainingMs: 4000, tokenBudget } })
+  return createCall(`c${++callCount}`, { program: { id: 'p', sessionId: 's', remainingMs: 4000, tokenBudget } })
 }
 
 /// Resolves to the reservation of a turn through an entry, or to null if the turn may not run.
@@ -77,11 +77,13 @@
 const steps: readonly Step[] = ['spend', 'spend', 'spend', 'crash-entry', 'kill', 'restart', 'restart', 'wipe', 'away', 'back', 'wait']
 const maxDelayMs = 30
 
-test(`in any history of tolerated faults, the budget is exceeded by at most one turn (seed ${seed})`, async () => {
-  const history = fc.array(fc.tuple(fc.constantFrom(...steps), fc.nat({ max: 1000 })), { minLength: 5, maxLength: 25 })
+test(`in any sequence of tolerated faults, the budget is exceeded by at most one turn (seed ${seed})`, async () => {
+  const sequences = fc.array(
+    fc.tuple(fc.constantFrom(...steps), fc.nat({ max: 1000 })), { minLength: 5, maxLength: 25 }
+  )
   const delays = fc.array(fc.integer({ min: 1, max: maxDelayMs }), { minLength: 40, maxLength: 40 })
   const budget = fc.integer({ min: 5, max: 60 })
-  await fc.assert(fc.asyncProperty(history, delays, budget, async (sequence, delaysMs, tokenBudget) => {
+  await fc.assert(fc.asyncProperty(sequences, delays, budget, async (sequence, delaysMs, tokenBudget) => {
     cluster.stop()
     cluster = await Cluster.start()
     let messages = 0
@@ -99,7 +101,7 @@
         if (reservation === null) continue
         const tokens = (pick + i) % (maxTurnTokens + 1)
         deliveredTokens += tokens
-        // An entry that crashes does not settle, so its reservation counts in full.
+        // An entry that crashes does not settle its reservation, which then counts in full.
         if (step === 'spend') reservation.settle(tokens)
       }
       expect(deliveredTokens).toBeLessThanOrEqual(tokenBudget + maxTurnTokens)
--- a/process/storage/test/cluster.ts
+++ b/process/storage/test/cluster.ts
@@ -84,6 +84,7 @@
   }
 }
 
+/// A simulated machine with one storage instance. `ledger` and `membership` are null while that is down.
 interface Node {
   readonly name: string
   readonly address: string
@@ -99,7 +100,7 @@
   readonly store = new MemoryStore()
   readonly nodes: Node[] = []
   readonly entries: readonly LedgerQuorum[]
-  /// One-way delay between an entry or a storage instance and an address.
+  /// One-way delay from an entry or a storage instance, by name, to an address.
   networkDelayMs: (from: string, address: string) => number = () => defaultDelayMs
   /// Pairs of storage instances, as `NAME|NAME`, that can't reach each other.
   readonly partitions = new Set<string>()
@@ -214,14 +215,14 @@
     if (isCommitted) this.committed.add(id)
   }
 
-  /// IDs of committed turns that a quorum claims to be absent; there must be none.
-  async findDeniedTurns (): Promise<string[]> {
-    const deniedTurns: string[] = []
+  /// IDs of committed turns that a quorum reports as absent; there must be none.
+  async findTurnsReportedAbsent (): Promise<string[]> {
+    const reportedAbsent: string[] = []
     for (const id of this.committed) {
       const chain = await this.advanceUntil(this.quorum.findChain(id, requestTimeoutMs).catch(() => 'unknown' as const))
-      if (chain === null) deniedTurns.push(id)
+      if (chain === null) reportedAbsent.push(id)
     }
-    return deniedTurns
+    return reportedAbsent
   }
 
   async countFoundTurns (): Promise<number> {
@@ -269,13 +270,13 @@
   }
 
   private createPeer (from: string, address: string): LedgerPeer {
-    const send = async <Reply> (ask: (ledger: Ledger) => Promise<Reply>): Promise<Reply> => {
+    const send = async <Reply> (handle: (ledger: Ledger) => Promise<Reply>): Promise<Reply> => {
       await sleep(this.networkDelayMs(from, address))
       const node = this.nodes.find(other => other.address === address)
       if (node?.ledger == null || this.partitions.has(`${from}|${node.name}`) || this.partitions.has(`${node.name}|${from}`)) {
         throw new PeerError(`${address} is unreachable`)
       }
-      const reply = await ask(node.ledger)
+      const reply = await handle(node.ledger)
       await sleep(this.networkDelayMs(from, address))
       if (node.ledger === null) throw new PeerError(`${address} stopped before it replied`)
       return reply
--- a/process/storage/test/history.test.ts
+++ b/process/storage/test/history.test.ts
@@ -3,8 +3,8 @@
 import { Cluster, faults, useFakeClock, initialSize } from './cluster.js'
 import type { Fault } from './cluster.js'
 
-const copyMs = 4000
-const recoveryMs = 15_000
+const copyWaitMs = 4000
+const recoveryWaitMs = 15_000
 const runCount = Number(process.env.HISTORIES ?? 25)
 const seed = Number(process.env.HISTORY_SEED ?? 20261204)
 
@@ -21,11 +21,11 @@
 })
 
 describe('sequences of faults', () => {
-  test('each disk is lost in turn, and every committed turn is still found', async () => {
+  test('the disks are lost one after the other, and every committed turn is still found', async () => {
     for (const node of [...cluster.nodes]) {
       await cluster.appendTurn(false)
       cluster.restart(node, true)
-      await cluster.advance(copyMs)
+      await cluster.advance(copyWaitMs)
       expect(cluster.canLoseDisk).toBe(true)
     }
     expect(await cluster.countFoundTurns()).toBe(initialSize)
@@ -34,15 +34,15 @@
   test('an added instance replaces a retired one, then another disk is lost', async () => {
     await cluster.appendTurn(false)
     cluster.add()
-    await cluster.advance(copyMs)
+    await cluster.advance(copyWaitMs)
     const [retired, wiped] = cluster.nodes
     await cluster.retire(retired!)
-    await cluster.advance(copyMs)
+    await cluster.advance(copyWaitMs)
     expect(cluster.retirementState(retired!)).toBe('completed')
     cluster.remove(retired!)
     cluster.restart(wiped!, true)
     expect(await cluster.countFoundTurns()).toBe(1)
-    await cluster.advance(copyMs)
+    await cluster.advance(copyWaitMs)
     expect(cluster.canLoseDisk).toBe(true)
   })
 
@@ -50,10 +50,10 @@
     await cluster.appendTurn(false)
     cluster.remove(cluster.nodes[0]!)
     cluster.add()
-    await cluster.advance(recoveryMs)
+    await cluster.advance(recoveryWaitMs)
     expect(cluster.view?.members.map(member => member.name).sort()).toEqual(['s1', 's2', 's3'])
     cluster.restart(cluster.nodes[1]!, true)
-    await cluster.advance(copyMs)
+    await cluster.advance(copyWaitMs)
     expect(await cluster.countFoundTurns()).toBe(1)
   })
 
@@ -61,18 +61,18 @@
     await cluster.appendTurn(false)
     for (const node of cluster.nodes) cluster.kill(node)
     for (const [i, node] of cluster.nodes.entries()) cluster.restart(node, i === 0)
-    await cluster.advance(copyMs)
+    await cluster.advance(copyWaitMs)
     expect(await cluster.countFoundTurns()).toBe(1)
     expect(cluster.canLoseDisk).toBe(true)
   })
 
-  test('while the platform\'s store is unavailable turns are committed, and a lost disk is replaced once it is back', async () => {
+  test('while the platform\'s store is unavailable turns are committed, and a lost disk is replaced once the store is back', async () => {
     cluster.store.isUnavailable = true
     cluster.restart(cluster.nodes[0]!, true)
     await cluster.appendTurn(false)
     expect(cluster.committed.size).toBe(1)
     cluster.store.isUnavailable = false
-    await cluster.advance(copyMs)
+    await cluster.advance(copyWaitMs)
     expect(cluster.canLoseDisk).toBe(true)
   })
 })
@@ -99,19 +99,19 @@
   lossy: target => { target.store.losesResponses = !target.store.losesResponses }
 }
 
-test(`in any history of tolerated faults, no committed turn is denied or lost (seed ${seed})`, async () => {
-  const history = fc.array(fc.tuple(fc.constantFrom(...steps), fc.nat({ max: 20 })), { minLength: 5, maxLength: 30 })
-  await fc.assert(fc.asyncProperty(history, async sequence => {
+test(`in any sequence of tolerated faults, no committed turn is reported absent or lost (seed ${seed})`, async () => {
+  const sequences = fc.array(fc.tuple(fc.constantFrom(...steps), fc.nat({ max: 20 })), { minLength: 5, maxLength: 30 })
+  await fc.assert(fc.asyncProperty(sequences, async sequence => {
     cluster.stop()
     cluster = await Cluster.start()
     for (const [step, pick] of sequence) {
       await actions[step](cluster, cluster.nodes[pick % cluster.nodes.length]!)
-      expect(await cluster.findDeniedTurns()).toEqual([])
+      expect(await cluster.findTurnsReportedAbsent()).toEqual([])
     }
     cluster.partitions.clear()
     cluster.store.isUnavailable = cluster.store.losesResponses = false
     for (const node of cluster.nodes) if (node.ledger === null) cluster.restart(node, false)
-    await cluster.advance(recoveryMs)
+    await cluster.advance(recoveryWaitMs)
     expect(await cluster.countFoundTurns()).toBe(cluster.committed.size)
   }), { numRuns: runCount, seed, endOnFailure: true })
 }, 120_000)
