--- a/process/clock/src/stalldetector.ts
+++ b/process/clock/src/stalldetector.ts
@@ -7,7 +7,7 @@
   private expectedAtMs = performance.now() + checkIntervalMs
   private readonly timer = setInterval(() => this.check(), checkIntervalMs)
 
-  /// `onStall` is called after a stall, with how late the timer was.
+  /// `onStall` is called after each stall, with the delay of the timer.
   constructor (private readonly onStall: (lateMs: number) => void) {}
 
   stop (): void {
--- a/process/daemon/src/daemon.ts
+++ b/process/daemon/src/daemon.ts
@@ -35,9 +35,9 @@
   sidecar: async () => { throw new Error('the sidecar role is not implemented') }
 }
 
-/// Starts the role given in the settings file. On SIGTERM the process stops it and exits with status 0; on SIGHUP it
-/// validates the settings file. Rejects if the settings are invalid or the role can't be
-/// started.
+/// Starts the role given in the settings file. Rejects if the settings are invalid or the role can't be started. On
+/// SIGTERM the process stops the role and exits with status 0, or 1 if that fails; on SIGHUP it validates the settings
+/// file. Uncaught errors are logged and do not end the process.
 export async function runDaemon (settingsFile: string, platform: DaemonPlatform): Promise<void> {
   const settings = parseSettings(settingsFile, readFileSync(settingsFile, 'utf8'))
   const log = new ProcessLog(settings.node.name, settings.node.role)
--- a/process/entry/src/entry.ts
+++ b/process/entry/src/entry.ts
@@ -42,7 +42,7 @@
 const watchWaitMs = 2000
 const watchPauseMs = 40
 const minViewReadIntervalMs = 400
-const viewCheckIntervalMs = 250
+const firstViewPollIntervalMs = 250
 const chainCacheBytes = 24 * 1024 * 1024
 const defaultMaxConnections = 32
 /// Fraction of an instance's connections that one entry may use.
@@ -113,7 +113,7 @@
       watchObjects(platform.store, { kind: ObjectKind.instances, ...timing }, this.registry, log)
     )
     this.readView()
-    const viewTimer = setInterval(() => { if (this.quorum.viewVersion === 0) this.readView() }, viewCheckIntervalMs)
+    const viewTimer = setInterval(() => { if (this.quorum.viewVersion === 0) this.readView() }, firstViewPollIntervalMs)
     this.stopCallbacks.push(() => clearInterval(viewTimer))
     this.closeCallbacks.push(await serveStatus(options.readinessAddress, {
       [options.readinessPath]: () => this.isReady ? { status: 200, text: 'ready\n' } : { status: 503, text: 'not ready\n' }
@@ -121,7 +121,8 @@
     await this.front.listen(options.callersAddress)
   }
 
-  /// Drains calls in flight. Resolves when none is left, or shortly before the grace period ends.
+  /// Accepts new connections for a while longer, then drains the calls in flight. Resolves when none is left, or
+  /// shortly before the grace period ends.
   async stop (): Promise<void> {
     const startedAtMs = performance.now()
     const deadlineMs = startedAtMs + this.options.stopGraceMs - stopMarginMs
--- a/process/entry/test/harness.ts
+++ b/process/entry/test/harness.ts
@@ -17,6 +17,7 @@
 
 /// An in-memory ledger that can be made unavailable.
 export class FakeLedger implements TurnLedger {
+  /// By KIND/ID, where the kind is 1 for a reservation, 2 for a settlement and 3 for a turn.
   readonly records = new Map<string, LedgerRecord>()
   isUnavailable = false
 
@@ -68,7 +69,7 @@
   readonly body: string
 }
 
-/// An upstream instance to list; its id has the form SERVICE-NUMBER.
+/// An instance in the harness's list of upstream instances. Its id has the form SERVICE-NUMBER.
 export interface ListedInstance {
   readonly id: string
   readonly address: string
--- a/process/entry/test/malformedresponse.test.ts
+++ b/process/entry/test/malformedresponse.test.ts
@@ -19,7 +19,7 @@
   server.close()
 })
 
-/// Starts an entry with one upstream server, listed under each of the ids, that responds with raw bytes.
+/// Starts an upstream TCP server that responds with raw bytes, and an entry that lists it as an instance under each id.
 async function startEntry (writeResponse: WriteResponse, ids = ['tools-0']): Promise<void> {
   received = []
   let requestNumber = 0
@@ -76,7 +76,7 @@
   expect((await entry.call('/charge/1')).body).toBe('own 1')
 })
 
-test('a response sent before the request body is read: no other request\'s bytes take the place of the rest of the body', async () => {
+test('a response before the request body is fully sent: the next request is not written into the unfinished body', async () => {
   await startEntry((id, number, socket) => {
     if (number === 0) socket.pause()
     socket.write(formatResponse(id, `own ${number}`))
@@ -92,7 +92,7 @@
 })
 
 // Guards against events lost on resume: those before the gap were recorded as delivered without having been written.
-test('a gap in the event ids within one chunk: the events before it are delivered, the rest by another instance', async () => {
+test('a gap in the event ids within one chunk: the events before it are delivered, and the rest come from another instance', async () => {
   const event = (id: number): string => `id: ${id}\ndata: ${id}\n\n`
   const head = (id: string): string => `HTTP/1.1 200 OK\r\nattempt-id: ${id}\r\nserver-signature: s\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n`
   await startEntry((id, number, socket) => {
--- a/process/entry/test/serve.test.ts
+++ b/process/entry/test/serve.test.ts
@@ -27,8 +27,8 @@
   return entry.call(...args)
 }
 
-function injectFault (upstreams: StandinUpstream[], kind: UpstreamFault): void {
-  for (const upstream of upstreams) upstream.fault = kind
+function injectFault (upstreams: StandinUpstream[], fault: UpstreamFault): void {
+  for (const upstream of upstreams) upstream.fault = fault
 }
 
 const countExecutions = (upstreams: StandinUpstream[]): number =>
@@ -53,8 +53,8 @@
   ['response lost', UpstreamFault.answerLost, 2],
   ['response with another call id', UpstreamFault.mixedUp, 2],
   ['response broken off', UpstreamFault.broken, 2]
-])('an idempotent call is retried at another instance: %s', async (_, kind, runs) => {
-  injectFault(tools, kind)
+])('an idempotent call is retried at another instance: %s', async (_, fault, runs) => {
+  injectFault(tools, fault)
   // The first instance that runs the call clears the fault of the other one, so the retry succeeds.
   tools[0]!.onRun = () => { tools[1]!.fault = UpstreamFault.none }
   tools[1]!.onRun = () => { tools[0]!.fault = UpstreamFault.none }
@@ -72,8 +72,8 @@
   ['response lost', UpstreamFault.answerLost, 502],
   ['response with another call id', UpstreamFault.mixedUp, 502],
   ['response broken off', UpstreamFault.broken, 502]
-])('a non-idempotent call runs once and is not reported as not run: %s', async (_, kind, status) => {
-  injectFault(tools, kind)
+])('a non-idempotent call runs once and is not reported as not run: %s', async (_, fault, status) => {
+  injectFault(tools, fault)
   expect((await call('/charge/1')).status).toBe(status)
   expect(countExecutions(tools)).toBe(1)
 })
@@ -86,7 +86,7 @@
   expect(countExecutions(tools)).toBe(0)
 })
 
-test('a call that exceeds its deadline after being sent gets 504', async () => {
+test('a call whose deadline passes after it was sent gets 504', async () => {
   injectFault(tools, UpstreamFault.silent)
   expect((await call('/charge/1', { 'deadline-ms': '120' })).status).toBe(504)
 })
@@ -172,8 +172,9 @@
   expect((await call('/chat/1', { 'token-usage': '40,40' })).status).toBe(200)
 })
 
-// A response without a content length ends when its connection closes. The HTTP client took a connection reset for
-// that end, and the runtime reports a reset received together with the last bytes as an ordinary end.
+// Guards against a truncated response that is forwarded as complete. A response without a content length ends when its
+// connection closes: the HTTP client took a connection reset for that end, and the runtime reports a reset received
+// together with the last bytes as an ordinary end.
 describe.each([20, 0])('a response without a content length, reset %i ms after its last bytes', resetAfterMs => {
   test.each([
     ['/check/1', 'GET', () => tools],
--- a/process/metrics/src/metrics.ts
+++ b/process/metrics/src/metrics.ts
@@ -1,5 +1,5 @@
 import type { Histogram } from 'hdr-histogram-js'
-// The library's index also loads its log writers, which takes a seventh of the CPU time of a start.
+// The library's index also loads its log writers, which takes a seventh of the CPU time of a process start.
 import { constructorFromBucketSize } from 'hdr-histogram-js/dist/JsHistogramFactory.js'
 
 const minLatencyMs = 1
--- a/process/settings/src/settings.ts
+++ b/process/settings/src/settings.ts
@@ -33,6 +33,7 @@
   store: z.strictObject({ address }),
   storage: z.optional(z.strictObject({ data_dir: nonEmptyString, disk_mb: z.number().check(z.minimum(1)) })),
   engine: z.optional(z.strictObject({ address })),
+  /// Of these keys the daemon uses only stop_grace_ms so far; the others are only validated.
   timing: z.strictObject({
     /// Time between SIGTERM and SIGKILL.
     stop_grace_ms: durationMs,
@@ -47,7 +48,8 @@
 /// The settings of one process, with the keys of its settings file.
 export type Settings = z.infer<typeof settingsSchema>
 
-/// A settings file is invalid. Each fault names the key, the value found and the allowed values.
+/// A settings file is invalid. Each fault names a key and what is wrong with it: the value found and what is allowed, a
+/// missing key or table, or an unknown key. A TOML syntax error is a single fault without a key.
 export class SettingsError extends Error {
   override readonly name = 'SettingsError'
 
--- a/version/configuration/src/configuration.ts
+++ b/version/configuration/src/configuration.ts
@@ -49,7 +49,7 @@
   readonly engine: Engine | null
 }
 
-/// Capacity of one model engine of a service.
+/// Properties of each model engine of a service.
 export interface Engine {
   readonly slots: number
   readonly kvCapacityTokens: number
