--- a/connection/front/src/exchange.ts
+++ b/connection/front/src/exchange.ts
@@ -22,7 +22,8 @@
     return this.response.writableEnded || this.response.destroyed
   }
 
-  /// Calls `listener` if the caller disconnects before the response is complete.
+  /// Calls `listener` if the connection closes before the response is complete: the caller disconnected, or `abort`
+  /// was called.
   onDisconnect (listener: () => void): void {
     this.response.once('close', () => {
       if (!this.response.writableFinished) listener()
@@ -53,7 +54,8 @@
     })
   }
 
-  /// Sends a complete response. `isLast` asks the caller to use a new connection for its next request.
+  /// Sends a complete response, unless one was started before. `isLast` asks the caller to use a new connection for
+  /// its next request.
   respond (status: number, headers: ResponseHeaders, body: Buffer, isLast: boolean): void {
     if (this.isStarted || this.isFinished) return
     this.isStarted = true
@@ -61,7 +63,7 @@
     this.response.end(body)
   }
 
-  /// Sends the headers of a response whose body follows in chunks.
+  /// Sends the headers of a response whose body follows in chunks, unless a response was started before.
   startResponse (status: number, headers: ResponseHeaders, isLast: boolean): void {
     if (this.isStarted || this.isFinished) return
     this.isStarted = true
--- a/connection/front/src/server.ts
+++ b/connection/front/src/server.ts
@@ -44,7 +44,7 @@
     this.app.all('*', () => {})
   }
 
-  /// Returns the address that was bound.
+  /// Returns the URL of the address that was bound; port 0 lets the operating system choose one.
   async listen (address: string): Promise<string> {
     const [host, port] = splitAddress(address)
     this.app.server.requestTimeout = 0
--- a/connection/header/src/codec.ts
+++ b/connection/header/src/codec.ts
@@ -43,6 +43,7 @@
   readonly isSigned: boolean
   /// The upstream reports that it did not run the request.
   readonly isNotRun: boolean
+  /// The body has a content encoding such as gzip.
   readonly isEncoded: boolean
   readonly load: UpstreamLoad | null
 }
@@ -62,19 +63,19 @@
   readonly lastEventId: number
 }
 
-// Those of RFC 9110, section 7.6.1, and those that Node's HTTP stack sets itself.
-const hopByHop = ['connection', 'keep-alive', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade',
+// The hop-by-hop headers of RFC 9110, section 7.6.1, and those that Node's HTTP stack sets itself.
+const neverForwarded = ['connection', 'keep-alive', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade',
   'content-length', 'host', 'expect']
 const maxCallerTimeoutMs = 600_000
 const defaultCallerTimeoutMs = 30_000
 
-/// Reads and writes the system's header fields under one set of names.
+/// Reads and writes the system's header fields, under the names that it is given.
 export class HeaderCodec {
   private readonly droppedHeaders: ReadonlySet<string>
 
   constructor (private readonly names: HeaderNames) {
     this.droppedHeaders = new Set([
-      ...hopByHop,
+      ...neverForwarded,
       ...names.reserved,
       names.expectedInstance,
       names.callerTimeoutMs,
@@ -82,13 +83,13 @@
     ])
   }
 
-  /// Throws `InvalidCallError` if the call id or the host is missing or the call id has an invalid length. Other fields
-  /// that are missing or malformed count as absent.
+  /// Throws `InvalidCallError` if the call id or the host is missing or the call id has an invalid length. Malformed
+  /// values of other fields are ignored.
   parseCall (head: RequestHead, receivedAtMs: number): Call {
     const { names } = this
     const { headers } = head
     const id = firstValue(headers[names.callId])
-    if (id === null || id.length === 0 || id.length > 200) throw new InvalidCallError('no call id of 1-200 characters')
+    if (id === null || id.length === 0 || id.length > 200) throw new InvalidCallError('call id needs 1-200 characters')
     const host = firstValue(headers.host)
     if (host === null) throw new InvalidCallError('the host header is missing')
     return {
@@ -132,12 +133,12 @@
     return headers
   }
 
-  /// Returns the response headers to forward to the caller, without hop-by-hop headers.
+  /// Returns the response headers to forward to the caller.
   filterResponseHeaders (head: ResponseHead): Record<string, string | string[]> {
     const connectionOptions = parseConnectionOptions(firstValue(head.headers.connection))
     const forwarded: Record<string, string | string[]> = {}
     for (const [name, value] of Object.entries(head.headers)) {
-      if (value !== undefined && !hopByHop.includes(name) && !connectionOptions.has(name)) forwarded[name] = value
+      if (value !== undefined && !neverForwarded.includes(name) && !connectionOptions.has(name)) forwarded[name] = value
     }
     return forwarded
   }
--- a/connection/rpc/src/client.ts
+++ b/connection/rpc/src/client.ts
@@ -32,12 +32,12 @@
 }
 /// Requests that time out in a row without any reply from the peer before the connection is replaced.
 const timeoutsBeforeReconnect = 2
-/// A timer that fires later than this shows that the event loop stalled.
+/// A timer that fires late by more than this shows that the event loop stalled.
 const stallThresholdMs = 15
 /// After a stall, replies that have already arrived get this long to be read.
 const stallGraceMs = 60
 
-type Session = ClientDuplexStream<Requests, Replies>
+type SessionStream = ClientDuplexStream<Requests, Replies>
 
 interface PendingRequest {
   readonly timer: ReturnType<typeof setTimeout>
@@ -58,11 +58,11 @@
   return { lastReplyMs: -Infinity, consecutiveTimeouts: 0, generation: 0 }
 }
 
-/// A storage instance reached over one gRPC stream. Requests of one event loop
-/// iteration share a message. An unresponsive connection is replaced.
+/// A storage instance reached over one gRPC stream. Requests that are made in
+/// one synchronous run of code share a message. An unresponsive connection is replaced.
 export class LedgerConnection implements LedgerPeer {
   private client: LedgerClient | null = null
-  private session: Session | null = null
+  private stream: SessionStream | null = null
   private readonly pending = new Map<number, PendingRequest>()
   private outgoing: Request[] = []
   private lastNumber = 0
@@ -118,19 +118,19 @@
     const requests = this.outgoing
     this.outgoing = []
     if (requests.length === 0) return
-    this.session ??= this.connect()
-    this.session.write({ requests })
+    this.stream ??= this.connect()
+    this.stream.write({ requests })
   }
 
-  private connect (): Session {
+  private connect (): SessionStream {
     this.client ??= new LedgerClient(this.address, credentials.createInsecure(), channelOptions)
-    const session = this.client.session()
-    session.on('data', (replies: Replies) => {
+    const stream = this.client.session()
+    stream.on('data', (replies: Replies) => {
       for (const reply of replies.replies) this.handleReply(reply)
     })
-    session.on('error', (error: Error) => this.handleSessionEnd(session, error.message))
-    session.on('end', () => this.handleSessionEnd(session, 'the peer ended the stream'))
-    return session
+    stream.on('error', (error: Error) => this.handleStreamEnd(stream, error.message))
+    stream.on('end', () => this.handleStreamEnd(stream, 'the peer ended the stream'))
+    return stream
   }
 
   private handleReply (reply: Reply): void {
@@ -162,20 +162,20 @@
     if (this.lastReplyMs < sentAtMs && ++this.consecutiveTimeouts >= timeoutsBeforeReconnect) this.tearDown('silent')
   }
 
-  /// Rejects the requests of a session that failed or ended; their replies are lost.
-  private handleSessionEnd (session: Session, reason: string): void {
-    if (session !== this.session) return
-    this.session = null
+  /// Rejects the requests of a stream that failed or ended; their replies are lost.
+  private handleStreamEnd (stream: SessionStream, reason: string): void {
+    if (stream !== this.stream) return
+    this.stream = null
     this.rejectAll(reason)
   }
 
   /// Closes the connection and rejects its requests; the next request opens a new one.
   private tearDown (reason: string): void {
-    const { client, session } = this
+    const { client, stream } = this
     this.consecutiveTimeouts = 0
     this.client = null
-    this.session = null
-    session?.cancel()
+    this.stream = null
+    stream?.cancel()
     client?.close()
     this.rejectAll(reason)
   }
--- a/connection/rpc/src/server.ts
+++ b/connection/rpc/src/server.ts
@@ -12,14 +12,14 @@
   fetch (request: FetchRequest): Promise<FetchReply>
 }
 
-type Session = ServerDuplexStream<Requests, Replies>
+type SessionStream = ServerDuplexStream<Requests, Replies>
 
-/// Serves a storage instance's records to entries and other storage instances.
+/// Serves the ledger protocol of a storage instance to entries and other storage instances.
 export class LedgerServer {
   private readonly server = new Server({ 'grpc.max_receive_message_length': 16 * 1024 * 1024 })
 
   constructor (private readonly handler: LedgerHandler) {
-    this.server.addService(LedgerService, { session: (session: Session) => this.handleSession(session) })
+    this.server.addService(LedgerService, { session: (stream: SessionStream) => this.handleStream(stream) })
   }
 
   /// Returns the bound port, which the operating system chooses if `address` has port 0.
@@ -36,19 +36,19 @@
     this.server.forceShutdown()
   }
 
-  private handleSession (session: Session): void {
-    const replies = new ReplyBatch(session)
-    session.on('data', ({ requests }: Requests) => {
+  private handleStream (stream: SessionStream): void {
+    const replies = new ReplyBatch(stream)
+    stream.on('data', ({ requests }: Requests) => {
       for (const request of requests) {
         this.handleRequest(request)
           .catch((error: unknown) => ({ error: errorMessage(error) }))
           .then(reply => replies.add({ ...emptyReply, ...reply, number: request.number }))
       }
     })
-    session.on('end', () => session.end())
+    stream.on('end', () => stream.end())
     // A disconnected peer gets no more replies, but its requests are still completed.
-    session.on('error', () => replies.stop())
-    session.on('cancelled', () => replies.stop())
+    stream.on('error', () => replies.stop())
+    stream.on('cancelled', () => replies.stop())
   }
 
   private async handleRequest (request: Request): Promise<Partial<Reply>> {
@@ -57,7 +57,7 @@
     if (request.findChain !== undefined) return { findChain: await handler.findChain(request.findChain) }
     if (request.digest !== undefined) return { digest: await handler.digest(request.digest) }
     if (request.fetch !== undefined) return { fetch: await handler.fetch(request.fetch) }
-    return { error: 'the request holds no operation' }
+    return { error: 'the request contains no operation' }
   }
 }
 
@@ -66,7 +66,7 @@
   private replies: Reply[] = []
   private isStopped = false
 
-  constructor (private readonly session: Session) {}
+  constructor (private readonly stream: SessionStream) {}
 
   add (reply: Reply): void {
     if (this.isStopped) return
@@ -81,7 +81,7 @@
   private flush (): void {
     const { replies } = this
     this.replies = []
-    if (!this.isStopped) this.session.write({ replies })
+    if (!this.isStopped) this.stream.write({ replies })
   }
 }
 
--- a/connection/upstream/src/client.ts
+++ b/connection/upstream/src/client.ts
@@ -19,7 +19,7 @@
   onError (error: UpstreamError): void
 }
 
-/// A request in flight. Aborting closes its connection immediately.
+/// A request in flight. Aborting closes its connection immediately; its handler is not called any more.
 export interface InFlightRequest {
   abort (): void
   /// Whether any part of the request may have been sent.
--- a/demo/src/soak.ts
+++ b/demo/src/soak.ts
@@ -6,8 +6,9 @@
 import type { CallResult } from './program.js'
 import { runAndExit } from './run.js'
 
-/// Runs programs against real processes while these are killed, lose their disks or cannot reach the store.
-/// Then checks that no stored turn is lost, no charge has run twice and no refused charge has run.
+// Runs programs against real processes while these are killed, lose their disks or can't reach the store. Then checks
+// that no stored turn is lost, and that no call of the tool `charge` has run twice or in spite of a refusal.
+
 const rounds = Number(process.env.SOAK_ROUNDS ?? 6)
 const programsAtOnce = 3
 const turns = 3
--- a/emulator/policy/src/emulation.ts
+++ b/emulator/policy/src/emulation.ts
@@ -24,11 +24,13 @@
   readonly createPolicy: PolicyFactory
 }
 
-/// How many programs of a trace ended in time, late or not at all.
+/// How many programs of a trace ended in time, late or failed.
 export interface EmulationResult {
   /// Programs that ended within their latency target.
   readonly inAim: number
+  /// Programs that missed their latency target but ended within `lateCutoffFactor` times it.
   readonly late: number
+  /// Programs with a turn that failed, and programs that ended even later.
   readonly failed: number
   /// Value of the programs that ended in time, plus a share of the value of late ones, divided by the value of all.
   readonly weightedGoodput: number
--- a/emulator/policy/src/engine.ts
+++ b/emulator/policy/src/engine.ts
@@ -1,6 +1,7 @@
 /// Performance figures of a model engine, as the platform's specification gives them.
 export interface EngineProfile {
   readonly slots: number
+  /// Base duration of a decode step, in which each running call generates one token.
   readonly stepMs: number
   /// Added to a decode step by each running call.
   readonly stepMsPerCall: number
@@ -13,7 +14,7 @@
 
 /// A call at an emulated engine.
 export interface EngineCall {
-  /// The parts of the prompt, outermost first.
+  /// The parts of the prompt that other prompts may share, in order from its start.
   readonly prefix: readonly { readonly id: string, readonly tokens: number }[]
   readonly outputTokens: number
   /// Called with the first output token, with the numbers of calls then running and waiting at the engine.
--- a/process/cli/src/cli.ts
+++ b/process/cli/src/cli.ts
@@ -7,7 +7,7 @@
 import { formatReports, parseReports } from './report.js'
 import { formatStatuses, fetchStatuses } from './status.js'
 
-/// Input and output of the command line, which tests replace.
+/// Input and output of the commands. Tests substitute a fake.
 export interface CliIo {
   readonly readInput: () => string
   readonly write: (text: string) => void
--- a/process/cli/src/lines.ts
+++ b/process/cli/src/lines.ts
@@ -2,6 +2,7 @@
 export interface LogLine {
   readonly timeMs: number
   readonly node: string
+  /// Name and number of the event, as docs/EVENTS.md lists them.
   readonly name: string
   readonly number: number
   readonly fields: Readonly<Record<string, unknown>>
@@ -72,6 +73,7 @@
   readonly node: string
   readonly startMs: number
   readonly endMs: number
+  /// The status of the response, or the event that ended the call with its refusal or reason.
   readonly outcome: string
 }
 
--- a/standin/store/src/store.ts
+++ b/standin/store/src/store.ts
@@ -24,8 +24,9 @@
   readonly timer: ReturnType<typeof setTimeout>
 }
 
-/// Faults that the store injects, to test how clients handle its outages. With `answerLost`, a write takes
-/// effect but the connection is reset instead of a response.
+/// Faults that the store injects, to test how clients handle its outages: `busy` responds with 503, `silent` never
+/// responds, and `reset` resets the connection. With `answerLost`, a write takes effect, but the connection is reset
+/// instead of a response.
 export const StoreFault = { none: 'none', busy: 'busy', silent: 'silent', reset: 'reset', answerLost: 'answer-lost' } as const
 
 export type StoreFault = typeof StoreFault[keyof typeof StoreFault]
--- a/standin/upstream/src/upstream.ts
+++ b/standin/upstream/src/upstream.ts
@@ -10,7 +10,7 @@
   full: 'full',
   /// Executes the request and resets the connection without a response.
   answerLost: 'answer-lost',
-  /// Responds with the id of another attempt.
+  /// Responds with the id of another call.
   mixedUp: 'mixed-up',
   /// Closes the connection in the middle of the response.
   broken: 'broken',
