--- a/connection/rpc/src/client.ts
+++ b/connection/rpc/src/client.ts
@@ -16,7 +16,7 @@
 export class PeerError extends Error {
   override readonly name = 'PeerError'
 
-  /// `isUnresponsive` is false if the peer replied to other requests in the meantime: it is slow, not unresponsive.
+  /// `isUnresponsive` is false only if the request timed out while the peer replied to others: it is slow then.
   constructor (message: string, readonly isUnresponsive = true) {
     super(message)
   }
--- a/emulator/policy/src/compare.ts
+++ b/emulator/policy/src/compare.ts
@@ -12,7 +12,7 @@
   readonly programsPerS: number
 }
 
-/// From the users' requirements: all engines on a calm and on a busy day, and half of the engines on a calm day.
+/// From the users' requirements: all engines on a calm and on a busy day, and half of the engines at a load in between.
 export const scenarios: Readonly<Record<string, Scenario>> = {
   calm: { engines: 6, programsPerS: 15 },
   busy: { engines: 6, programsPerS: 34 },
--- a/process/entry/src/serve.ts
+++ b/process/entry/src/serve.ts
@@ -183,7 +183,7 @@
     this.status = refused.status
     const headers: Record<string, string> = {
       'content-type': 'application/json',
-      ...(call === null ? {} : this.codec.writeCallId(call.id)),
+      ...(call === null ? {} : this.codec.createCallIdHeader(call.id)),
       ...(refused.retryAfterMs > 0 ? { 'retry-after': String(refused.retryAfterMs / 1000) } : {})
     }
     const body = JSON.stringify({
--- a/process/entry/test/serve.test.ts
+++ b/process/entry/test/serve.test.ts
@@ -50,8 +50,8 @@
 })
 
 test.each<[string, UpstreamFault, number]>([
-  ['response lost', UpstreamFault.answerLost, 2],
-  ['response with another call id', UpstreamFault.mixedUp, 2],
+  ['response lost', UpstreamFault.responseLost, 2],
+  ['response with another call id', UpstreamFault.wrongCallId, 2],
   ['response broken off', UpstreamFault.broken, 2]
 ])('an idempotent call is retried at another instance: %s', async (_, fault, runs) => {
   injectFault(tools, fault)
@@ -69,8 +69,8 @@
 })
 
 test.each<[string, UpstreamFault, number]>([
-  ['response lost', UpstreamFault.answerLost, 502],
-  ['response with another call id', UpstreamFault.mixedUp, 502],
+  ['response lost', UpstreamFault.responseLost, 502],
+  ['response with another call id', UpstreamFault.wrongCallId, 502],
   ['response broken off', UpstreamFault.broken, 502]
 ])('a non-idempotent call runs once and is not reported as not run: %s', async (_, fault, status) => {
   injectFault(tools, fault)
--- a/request/call/src/refusal.ts
+++ b/request/call/src/refusal.ts
@@ -14,7 +14,7 @@
   overloaded: 'overloaded',
   upstreamFailed: 'upstream-failed',
   timedOut: 'timed-out',
-  notPersisted: 'not-kept',
+  notStored: 'not-kept',
   internal: 'internal'
 } as const
 
--- a/request/forward/src/attempt.ts
+++ b/request/forward/src/attempt.ts
@@ -70,7 +70,7 @@
   start (): void {
     const { call, codec, instance, remainingMs, lastEventId, body, signal } = this.request
     if (signal.aborted) return this.finish({ kind: 'unsent', reason: String(signal.reason) })
-    const headers = codec.writeDispatch(call, { instanceId: instance.description.id, remainingMs, lastEventId })
+    const headers = codec.createRequestHeaders(call, { instanceId: instance.description.id, remainingMs, lastEventId })
     signal.addEventListener('abort', this.onAbort, { once: true })
     this.restartIdleTimer()
     try {
--- a/request/forward/src/stream.ts
+++ b/request/forward/src/stream.ts
@@ -143,7 +143,7 @@
     try {
       await context.ledger.append([record], timeoutMs)
     } catch (error) {
-      throw new RefusedError(Refusal.notPersisted, Verdict.ran, formatError(error))
+      throw new RefusedError(Refusal.notStored, Verdict.ran, formatError(error))
     }
     context.metrics.observeMs('keep', performance.now() - startedAtMs)
     context.cache.add(record)
--- a/standin/store/src/store.ts
+++ b/standin/store/src/store.ts
@@ -25,9 +25,9 @@
 }
 
 /// Faults that the store injects, to test how clients handle its outages: `busy` responds with 503, `silent` never
-/// responds, and `reset` resets the connection. With `answerLost`, a write takes effect, but the connection is reset
+/// responds, and `reset` resets the connection. With `responseLost`, a write takes effect, but the connection is reset
 /// instead of a response.
-export const StoreFault = { none: 'none', busy: 'busy', silent: 'silent', reset: 'reset', answerLost: 'answer-lost' } as const
+export const StoreFault = { none: 'none', busy: 'busy', silent: 'silent', reset: 'reset', responseLost: 'answer-lost' } as const
 
 export type StoreFault = typeof StoreFault[keyof typeof StoreFault]
 
@@ -113,7 +113,7 @@
     const [, , kind = '', name, subresource] = url.pathname.split('/').map(decodeURIComponent)
     const [status, responseBody] = this.execute(request.method ?? 'GET', kind, name, subresource, url.searchParams, body, response)
     if (status === 0) return
-    if (fault === StoreFault.answerLost && request.method !== 'GET') request.socket.resetAndDestroy()
+    if (fault === StoreFault.responseLost && request.method !== 'GET') request.socket.resetAndDestroy()
     else sendJson(response, status, responseBody)
   }
 
--- a/standin/upstream/src/upstream.ts
+++ b/standin/upstream/src/upstream.ts
@@ -9,9 +9,9 @@
   /// Responds with 503 and the header that says that the request was not executed.
   full: 'full',
   /// Executes the request and resets the connection without a response.
-  answerLost: 'answer-lost',
+  responseLost: 'answer-lost',
   /// Responds with the id of another call.
-  mixedUp: 'mixed-up',
+  wrongCallId: 'mixed-up',
   /// Closes the connection in the middle of the response.
   broken: 'broken',
   /// Sends a response without a length, which ends when the connection closes.
@@ -86,7 +86,7 @@
     this.executedRequests.push(executed)
     this.onRun(executed)
     if (this.fault === UpstreamFault.silent) return
-    if (this.fault === UpstreamFault.answerLost) {
+    if (this.fault === UpstreamFault.responseLost) {
       request.socket.resetAndDestroy()
       return
     }
@@ -94,7 +94,7 @@
       this.sendUnframedAndReset(request.socket, callId)
       return
     }
-    const echoedId = this.fault === UpstreamFault.mixedUp ? 'another' : callId
+    const echoedId = this.fault === UpstreamFault.wrongCallId ? 'another' : callId
     const responseHeaders = { 'attempt-id': echoedId, 'server-signature': `${this.options.id}.${callId}`, 'server-load': '1,0,32' }
     if (this.options.eventCount > 0) await this.stream(request, response, responseHeaders, executed)
     else await this.respond(response, responseHeaders, executed)
