--- a/process/ledger/src/disk.ts
+++ b/process/ledger/src/disk.ts
@@ -11,7 +11,7 @@
 /// The contents of a disk when it was opened.
 export interface DiskContents {
   readonly records: readonly { readonly record: LedgerRecord, readonly segment: number }[]
-  /// The disk held neither records nor a valid disk ID.
+  /// The disk held neither records nor a valid disk id.
   readonly wasEmpty: boolean
 }
 
--- a/process/ledger/src/records.ts
+++ b/process/ledger/src/records.ts
@@ -141,7 +141,7 @@
   return `${RecordKind.turn}/${id}`
 }
 
-/// The records of one call share its ID. A turn's record has the delivered tokens,
+/// The records of one call share its id. A turn's record has the delivered tokens,
 /// and so settles the call's reservation as a settlement does.
 function createAccountEntry (record: LedgerRecord): AccountEntry {
   if (record.kind === RecordKind.reservation) {
--- a/process/ledger/test/disk.test.ts
+++ b/process/ledger/test/disk.test.ts
@@ -25,7 +25,7 @@
   return join(folder, names[names.length - 1]!)
 }
 
-test('acknowledged records and the disk ID survive a restart', async () => {
+test('acknowledged records and the disk id survive a restart', async () => {
   const first = reopen()
   await first.persist([createRecord(RecordKind.turn, 't1'), createRecord(RecordKind.turn, 't2', { previousId: 't1' })])
   const second = reopen()
@@ -48,7 +48,7 @@
   expect(reopen().records.getChain('t3')).not.toBeNull()
 })
 
-test('a wiped folder gets a new disk ID and is reported as empty', async () => {
+test('a wiped folder gets a new disk id and is reported as empty', async () => {
   const { diskId } = reopen()
   rmSync(folder, { recursive: true })
   const { disk, contents } = Disk.open(folder, noopLog)
--- a/process/membership/src/view.ts
+++ b/process/membership/src/view.ts
@@ -17,7 +17,7 @@
 /// The view before any storage instance has registered.
 export const emptyView: View = { version: 0, members: [], leaveVersion: 0 }
 
-/// The members whose replies count in one view, as disk IDs, and how many of them are needed.
+/// The members whose replies count in one view, as disk ids, and how many of them are needed.
 export interface Quorums {
   /// Members that count towards the append quorum.
   readonly appendVoters: ReadonlySet<string>
--- a/process/storage/test/cluster.ts
+++ b/process/storage/test/cluster.ts
@@ -104,7 +104,7 @@
   networkDelayMs: (from: string, address: string) => number = () => defaultDelayMs
   /// Pairs of storage instances, as `NAME|NAME`, that can't reach each other.
   readonly partitions = new Set<string>()
-  /// IDs of committed turns.
+  /// Ids of committed turns.
   readonly committed = new Set<string>()
   private turnCount = 0
 
@@ -215,7 +215,7 @@
     if (isCommitted) this.committed.add(id)
   }
 
-  /// IDs of committed turns that a quorum reports as absent; there must be none.
+  /// Ids of committed turns that a quorum reports as absent; there must be none.
   async findTurnsReportedAbsent (): Promise<string[]> {
     const reportedAbsent: string[] = []
     for (const id of this.committed) {
