--- a/demo/src/main.ts
+++ b/demo/src/main.ts
@@ -31,7 +31,7 @@
 
 async function main (): Promise<number> {
   await system.start()
-  const entries = system.entries.map(node => node.callerAddress)
+  const entries = system.entries.map(node => node.callersAddress)
   const results = await Promise.all(Array.from(
     { length: programs },
     (_, i) => runProgram(entries[i % entries.length]!, turns, tokenBudget)
--- a/demo/src/soak.ts
+++ b/demo/src/soak.ts
@@ -46,7 +46,7 @@
   const run = { isFinished: false }
   const clients = Array.from({ length: programsAtOnce }, async (_, clientIndex) => {
     for (let i = clientIndex; !run.isFinished; i++) {
-      calls.push(...(await runProgram(pick(system.entries, i).callerAddress, turns, tokenBudget)).calls)
+      calls.push(...(await runProgram(pick(system.entries, i).callersAddress, turns, tokenBudget)).calls)
     }
   })
   for (let round = 0; round < rounds; round++) {
@@ -77,7 +77,7 @@
   for (const [i, turn] of storedTurns.entries()) {
     if (performance.now() - turn.endedAtMs > maxCheckedAgeMs) continue
     checkedCount++
-    if (await continueTurn(pick(system.entries, i).callerAddress, turn.callId) !== 200) lostCount++
+    if (await continueTurn(pick(system.entries, i).callersAddress, turn.callId) !== 200) lostCount++
   }
   process.stdout.write(`${checkedCount} of ${storedTurns.length} turns were within their retention period at the end\n`)
   return lostCount
--- a/standin/system/src/ports.ts
+++ b/standin/system/src/ports.ts
@@ -8,7 +8,8 @@
 /// Start of the next search. Derived from the process id, so that concurrent processes rarely try the same ports.
 let nextPort = lowestPort + (process.pid * 97) % (highestPort - lowestPort)
 
-/// Finds ports on which nothing listens at 127.0.0.1. Does not return a port twice in one process.
+/// Finds ports on which nothing listens at 127.0.0.1. Does not return a port twice in one process until the whole range
+/// has been searched.
 export async function findFreePorts (count: number): Promise<number[]> {
   const ports: number[] = []
   while (ports.length < count) {
--- a/standin/system/src/system.ts
+++ b/standin/system/src/system.ts
@@ -24,7 +24,7 @@
 export interface SystemNode {
   readonly name: string
   readonly role: 'entry' | 'storage'
-  readonly callerAddress: string
+  readonly callersAddress: string
   readonly readinessAddress: string
   readonly dataDir: string
   readonly zone: string
@@ -125,7 +125,7 @@
     const node = {
       name,
       role,
-      callerAddress: `127.0.0.1:${callerPort}`,
+      callersAddress: `127.0.0.1:${callerPort}`,
       readinessAddress: `127.0.0.1:${readinessPort}`,
       dataDir,
       peerPort: peerPort!,
@@ -148,7 +148,7 @@
 first_start = ${this.isFirstStart}
 tolerated_losses = 1
 [listen]
-callers = "${node.callerAddress}"
+callers = "${node.callersAddress}"
 readiness = "${node.readinessAddress}"
 readiness_path = "/readyz"
 peer_port = ${node.peerPort}
